--- a/test/usersPlatform/amounts.test.ts
+++ b/test/usersPlatform/amounts.test.ts
@@ -5,7 +5,7 @@
 import DurationModel from '../../src/batches/DurationModel';
 import { RunOrderSchema } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import Resources from '../../src/room/Resources';
-import amountOf from '../../src/room/amountOf';
+import toAmount from '../../src/room/toAmount';
 
 // A job whose step asked for 100.5 thousandths of a core was accepted. No order with that number can be
 // written to a link ("cannot encode field Amount.cpu_milli to binary: invalid uint32: 100.5"): the link to
@@ -20,7 +20,7 @@
     const job = readSubmission({ best_effort: true, steps: [{ ...step, ...change }] });
     if (job.kind !== 'batch') return `${job.kind}: ${job.reason}`;
     const [{ needs, estimateMs, mostTogether }] = job.steps as [(typeof job.steps)[0]];
-    const order = create(RunOrderSchema, { needs: amountOf(needs), estimateMs, mostTogether });
+    const order = create(RunOrderSchema, { needs: toAmount(needs), estimateMs, mostTogether });
     toBinary(RunOrderSchema, order);
     return [needs.cpuMilli, needs.memoryMb, estimateMs, mostTogether].join();
   });
@@ -41,7 +41,7 @@
 test('the longest estimate is carried also where the queue was learned to be slow', () => {
   const model = DurationModel.create();
   for (let done = 0; done < 500; done += 1) model.learn('q', 100, 100_000);
-  const expected = model.expect('q', 86_400_000);
+  const expected = model.predict('q', 86_400_000);
   const order = create(RunOrderSchema, { estimateMs: expected });
   expect([expected > 86_400_000, toBinary(RunOrderSchema, order).length > 0]).toEqual([true, true]);
 });
--- a/test/usersPlatform/heartbeats.test.ts
+++ b/test/usersPlatform/heartbeats.test.ts
@@ -18,9 +18,9 @@
   const { host } = runCase;
   const server = serveHeartbeats(
     {
-      hear: (report) => host.hear(report),
-      backendLeft: (id, born) => host.left(id, born),
-      heartbeats: host.heartbeats,
+      handleHeartbeat: (report) => host.handleHeartbeat(report),
+      handleBackendLeaving: (id, born) => host.handleLeaving(id, born),
+      ignoredHeartbeats: host.ignoredHeartbeats,
     },
     { info: () => undefined, warn: () => undefined },
   );
@@ -74,19 +74,19 @@
 
 test('a heartbeat with a field away or unfit is answered with its place, and changes nothing', async () => {
   const { host, send, close } = await open();
-  const before = host.current?.report;
+  const before = host.current?.heartbeat;
   const property = fc.asyncProperty(spoilt, async (body) => {
     const { status, body: answer } = await send(JSON.stringify(body));
-    expect([status, typeof answer.error, host.current?.report]).toEqual([400, 'string', before]);
+    expect([status, typeof answer.error, host.current?.heartbeat]).toEqual([400, 'string', before]);
   });
   await fc.assert(property, { numRuns: 400, seed: 11 });
   close();
-  expect([host.isAccepting, host.heartbeats.byCause.get('unreadable')]).toEqual([true, 400]);
+  expect([host.isAccepting, host.ignoredHeartbeats.byCause.get('unreadable')]).toEqual([true, 400]);
 });
 
 test('bytes that are no text name no backend server', async () => {
   const { host, send, close } = await open();
-  const before = host.current?.report;
+  const before = host.current?.heartbeat;
   const text = Buffer.from(JSON.stringify({ ...heartbeat, service: 'booking~' }), 'latin1');
   const broken = text.map((byte) => (byte === 0x7e ? 0xff : byte));
   const property = fc.asyncProperty(fc.uint8Array({ maxLength: 40 }), async (bytes) => {
@@ -95,7 +95,7 @@
   await fc.assert(property, { numRuns: 100, seed: 11 });
   const { status } = await send(broken);
   close();
-  expect([status, host.current?.report]).toEqual([400, before]);
+  expect([status, host.current?.heartbeat]).toEqual([400, before]);
 });
 
 test('a heartbeat tells when its life started, and so may the word that it leaves', async () => {
@@ -106,7 +106,7 @@
   await send('', 'DELETE');
   close();
   await runCase.timer.advance(10);
-  expect([heard.status, host.current?.report.born, isStaying, host.isAccepting]).toEqual([
+  expect([heard.status, host.current?.heartbeat.born, isStaying, host.isAccepting]).toEqual([
     ...[200, BORN],
     ...[true, false],
   ]);
--- a/test/usersPlatform/operatorKeys.test.ts
+++ b/test/usersPlatform/operatorKeys.test.ts
@@ -3,7 +3,7 @@
 import StoreCalls from '../../platform/StoreCalls';
 import Random from '../../src/core/Random';
 import SystemTimer from '../../src/core/SystemTimer';
-import StoreFollower from '../../src/membership/StoreFollower';
+import PrefixWatcher from '../../src/membership/PrefixWatcher';
 import HttpStandIn from '../support/HttpStandIn';
 
 const timer = SystemTimer.create();
@@ -28,11 +28,11 @@
     drained: ({ revision, zones }) => seen.push(`${revision}: ${zones.join()}`),
   });
   const calls = StoreCalls.to(timer, store.address);
-  await StoreFollower.of({
+  await PrefixWatcher.of({
     ...{ timer, log, random: Random.fromSeed(1), store: calls, prefix: 'op/' },
-    put: (key, value) => keys.put(key, value),
-    removed: (key) => keys.removed(key),
-    upTo: (revision) => keys.upTo(revision),
+    onPut: (key, value) => keys.put(key, value),
+    onDelete: (key) => keys.removed(key),
+    onRevision: (revision) => keys.upTo(revision),
   }).run(stop.signal);
   await store.close();
   return seen;
--- a/test/usersPlatform/store.test.ts
+++ b/test/usersPlatform/store.test.ts
@@ -3,7 +3,7 @@
 import Random from '../../src/core/Random';
 import SystemTimer from '../../src/core/SystemTimer';
 import PresenceKey from '../../src/membership/PresenceKey';
-import StoreFollower from '../../src/membership/StoreFollower';
+import PrefixWatcher from '../../src/membership/PrefixWatcher';
 import HttpStandIn from '../support/HttpStandIn';
 
 const log = { info: () => undefined, warn: () => undefined };
@@ -24,7 +24,7 @@
   };
   const calls = StoreCalls.to(timer, store.address);
   const parts = { timer, log, random: Random.fromSeed(1), store: calls, prefix: 'op/config' };
-  await StoreFollower.of({ ...parts, put }).run(stop.signal);
+  await PrefixWatcher.of({ ...parts, onPut: put }).run(stop.signal);
   await store.close();
   return values;
 }
--- a/tools/leasedBackend/LeasedBackend.ts
+++ b/tools/leasedBackend/LeasedBackend.ts
@@ -1,12 +1,12 @@
 import { err, errAsync, ok, okAsync, type Result, ResultAsync } from 'neverthrow';
 import type Subscription from '../../src/core/Subscription';
 import type TimerService from '../../src/core/TimerService';
-import type BackendHold from '../../src/runs/BackendHold';
+import type BackendPollResult from '../../src/runs/BackendPollResult';
 import type BackendRefusal from '../../src/runs/BackendRefusal';
-import type BackendReport from '../../src/runs/BackendReport';
+import type BackendHeartbeat from '../../src/runs/BackendHeartbeat';
 import type BackendRunFailure from '../../src/runs/BackendRunFailure';
-import type RunBackend from '../../src/runs/RunBackend';
-import type RunName from '../../src/runs/RunName';
+import type BackendRunClient from '../../src/runs/BackendRunClient';
+import type RunId from '../../src/runs/RunId';
 import taskKey from '../../src/runs/taskKey';
 import Resources from '../../src/room/Resources';
 
@@ -34,19 +34,19 @@
   readonly capacity?: Resources;
   readonly labels?: readonly string[];
   /** How a task's work goes: how long it takes and whether it fails. The spec says, unless this does. */
-  readonly work?: (run: RunName, spec: string) => TaskWork;
+  readonly work?: (run: RunId, spec: string) => TaskWork;
   /** Told when a task has crashed it. */
   readonly crashed?: () => void;
   /** Told of each start that was carried out, and of the end of each run and its reason, also by a crash. */
   readonly ran?: (
     what: 'started' | 'done' | 'failed' | 'lost',
-    run: RunName,
+    run: RunId,
     reason?: string,
   ) => void;
 }
 
 interface Running {
-  readonly run: RunName;
+  readonly run: RunId;
   readonly ms: number;
   readonly startedAt: number;
   readonly end: Subscription;
@@ -57,9 +57,9 @@
  * numbers that only rise, ends listed until they are acknowledged, calls that are lost or carried out
  * late. It never refuses for want of room, as the users' do, and notes when it was overfilled.
  */
-export default class LeasedBackend implements RunBackend {
+export default class LeasedBackend implements BackendRunClient {
   /** Every start that was carried out, in order. */
-  readonly starts: RunName[] = [];
+  readonly starts: RunId[] = [];
 
   /** Most that ran at once. */
   busiest = 0;
@@ -68,7 +68,7 @@
 
   private readonly highest = new Map<string, number>();
 
-  private ends: BackendHold['ended'][number][] = [];
+  private ends: BackendPollResult['ended'][number][] = [];
 
   private endCount = 0;
 
@@ -107,7 +107,7 @@
   }
 
   /** Its next heartbeat. */
-  report(change: Partial<BackendReport> = {}): BackendReport {
+  report(change: Partial<BackendHeartbeat> = {}): BackendHeartbeat {
     const { id = 'b1', service = 'booking', labels = [] } = this.opts;
     const { capacity = Resources.of({ cpuMilli: 16_000, memoryMb: 4_096 }) } = this.opts;
     this.sequence += 1;
@@ -181,7 +181,7 @@
   }
 
   start(
-    run: RunName,
+    run: RunId,
     spec: string,
     leaseUntil: number,
     token: number,
@@ -190,7 +190,7 @@
     return this.call('start', timeoutMs, () => this.carryOutStart(run, spec, leaseUntil, token));
   }
 
-  stop(run: RunName, token: number, timeoutMs: number): ResultAsync<void, BackendRunFailure> {
+  stop(run: RunId, token: number, timeoutMs: number): ResultAsync<void, BackendRunFailure> {
     return this.call('stop', timeoutMs, () => {
       if (!this.passes(token)) return;
       const key = taskKey(run);
@@ -202,20 +202,20 @@
     });
   }
 
-  hold(
+  poll(
     seenEnd: number,
     token: number,
     waitMs: number,
     timeoutMs: number,
     leaseUntil?: number,
-  ): ResultAsync<BackendHold, BackendRunFailure> {
+  ): ResultAsync<BackendPollResult, BackendRunFailure> {
     return this.call('hold', waitMs + timeoutMs, () => {
       if (this.passes(token) && leaseUntil !== undefined) this.renew(leaseUntil);
       this.ends = this.ends.filter(({ number }) => number > seenEnd);
     }).andThen(() => new ResultAsync(this.waitForEnd(waitMs)));
   }
 
-  private async waitForEnd(waitMs: number): Promise<Result<BackendHold, BackendRunFailure>> {
+  private async waitForEnd(waitMs: number): Promise<Result<BackendPollResult, BackendRunFailure>> {
     const { born } = this;
     if (waitMs > 0 && this.ends.length === 0) {
       const ended = new AbortController();
@@ -262,7 +262,7 @@
   }
 
   private carryOutStart(
-    run: RunName,
+    run: RunId,
     spec: string,
     leaseUntil: number,
     token: number,
@@ -289,7 +289,7 @@
     return 'started';
   }
 
-  private workOf(run: RunName, spec: string): TaskWork {
+  private workOf(run: RunId, spec: string): TaskWork {
     if (this.opts.work) return this.opts.work(run, spec);
     return { ms: Number(spec) || TASK_MS, fails: false };
   }
--- a/tools/measureCapacity/StandInSidecar.ts
+++ b/tools/measureCapacity/StandInSidecar.ts
@@ -66,7 +66,7 @@
     counters.links += 1;
     KeepAlive.start(link, timer, HEARTBEAT, {
       heartbeat: () => this.heartbeat(),
-      suspected: () => undefined,
+      onSuspicionChange: () => undefined,
     });
     const credits = Array.from({ length: slots }, (_, slot) =>
       create(CreditSchema, { slot, generation: 1 }),
--- a/tools/measureCapacity/measureRecords.ts
+++ b/tools/measureCapacity/measureRecords.ts
@@ -67,11 +67,11 @@
       const inputs = new Array<Uint8Array>(size).fill(new Uint8Array());
       const submission = create(SubmissionSchema, { service: 'booking', digest: key, inputs });
       const job = Job.fromSubmission(key, submission, 0);
-      job.answered();
+      job.whenAnswered();
       for (let index = 0; index < size; index += 1) {
-        job.starting(index, 'sidecar');
+        job.recordStart(index, 'sidecar');
         const result = { index, status: TaskStatus.COMPLETED, output: output(), runMs: 1 };
-        job.settle(create(TaskResultSchema, result));
+        job.recordResult(create(TaskResultSchema, result));
       }
       return [key, job];
     }),
--- a/tools/measureMembership/SimulatedEntry.ts
+++ b/tools/measureMembership/SimulatedEntry.ts
@@ -58,7 +58,8 @@
     const configurations = Versioned.of(create(ConfigurationSchema), ({ version }) => version);
     const watch = StoreWatch.create({
       ...{ store, timer, random, views: entry.views, configurations },
-      onPresent: (present) => membership.observe(policy.seesLeases ? present : new Set()),
+      onLiveIncarnations: (present) =>
+        membership.setLiveIncarnations(policy.seesLeases ? present : new Set()),
     });
     watch.run(entry.stop.signal).catch(() => undefined);
     membership.run(entry.stop.signal).then((ended) => {
--- a/tools/measureTracing/Loop.ts
+++ b/tools/measureTracing/Loop.ts
@@ -75,7 +75,7 @@
     this.peer.link = link;
     this.dispatcher.linkOpened(this.peer);
     const credits = [0, 1, 2, 3, 4, 5, 6, 7].map((slot) => ({ slot, generation: 1 }));
-    this.dispatcher.granted(this.peer, create(GrantSchema, { service: 'booking', credits }));
+    this.dispatcher.handleGrant(this.peer, create(GrantSchema, { service: 'booking', credits }));
   }
 
   /** Runs a number of tasks and returns the processor time for each, in microseconds. */
@@ -120,9 +120,9 @@
       ...{ job: `job-${index}`, index: 0, service: 'booking', team: 'agencies', input: INPUT },
       ...{ digest: '', jobSize: 1, createdMs: 0n, timeoutMs: 1000, traceparent, attempt: 0 },
       ...{ retryable: false, queuedAt, isWanted: () => true },
-      starting: () => undefined,
-      notStarted: () => undefined,
-      settled: ({ status, runMs }: TaskResult) => {
+      onStarting: () => undefined,
+      onNotStarted: () => undefined,
+      onSettled: ({ status, runMs }: TaskResult) => {
         this.hooks?.taskSettled('booking', status, this.timer.now() - queuedAt, runMs);
         resolve();
       },
@@ -138,7 +138,7 @@
     const credit = { slot, generation: generation + 1 };
     const status = TaskStatus.COMPLETED;
     if (this.variant.metrics) this.metrics.add('messages_received_total', 1, 'sidecar', 'done');
-    this.dispatcher.done(this.peer, create(DoneSchema, { task: start.task, status, credit }));
+    this.dispatcher.handleDone(this.peer, create(DoneSchema, { task: start.task, status, credit }));
   }
 
   private createDispatcher(): Dispatcher {
@@ -146,9 +146,9 @@
       ...{ timer: this.timer, random: Random.fromSeed(1), policy: 'credits', owner: 'e1' },
       ...{ metrics: this.hooks, tracer: this.tracer },
       viewNumber: () => 1n,
-      shareOf: () => 1,
+      weightOf: () => 1,
       maxRunningOf: () => undefined,
-      mayRetry: () => false,
+      takeRetry: () => false,
       sendToEntry: () => false,
     });
   }
--- a/tools/measuredDaemon/main.ts
+++ b/tools/measuredDaemon/main.ts
@@ -10,7 +10,7 @@
 process.on('SIGUSR2', () => {
   const { user, system } = process.cpuUsage();
   const cpuMs = (user + system) / 1000;
-  const sent = MessageCounts.ofProcess.all();
+  const sent = MessageCounts.global.snapshot();
   const text = JSON.stringify({ sent, cpuMs, rssBytes: process.memoryUsage.rss() });
   printed += 1;
   process.stdout.write(`counts ${printed} ${text}\n`);
--- a/tools/replay/Replay.ts
+++ b/tools/replay/Replay.ts
@@ -7,11 +7,11 @@
 import Random from '../../src/core/Random';
 import type EventLog from '../../src/observe/EventLog';
 import Resources from '../../src/room/Resources';
-import type BackendReport from '../../src/runs/BackendReport';
+import type BackendHeartbeat from '../../src/runs/BackendHeartbeat';
 import RunSidecar from '../../src/runs/RunSidecar';
 import ManualTimer from '../../test/support/ManualTimer';
 import MemoryNetwork from '../../test/support/MemoryNetwork';
-import Processor from '../../test/support/Processor';
+import SimulatedCpu from '../../test/support/SimulatedCpu';
 import LeasedBackend from '../leasedBackend/LeasedBackend';
 import Absences from './Absences';
 import EntryFigures from './EntryFigures';
@@ -51,7 +51,7 @@
 
   private readonly backends: LeasedBackend[] = [];
 
-  private readonly processors: Processor[] = [];
+  private readonly processors: SimulatedCpu[] = [];
 
   private readonly tally: Tally;
 
@@ -129,14 +129,14 @@
   }
 
   private result(): ReplayResult {
-    const sent = Object.values(this.network.counts()).reduce((sum, count) => sum + count, 0);
+    const sent = Object.values(this.network.messageCounts()).reduce((sum, count) => sum + count, 0);
     return {
       outcomes: this.tally.outcomes,
       answers: this.tally.answers,
       servedCoreSeconds: this.doneWork / CORE_SECOND,
       wastedCoreSeconds: (this.startedWork - this.doneWork) / CORE_SECOND,
       messagesATask: sent / Math.max(1, this.starts),
-      messages: this.network.counts(),
+      messages: this.network.messageCounts(),
       byEntry: this.figures.of(this.tally.answers),
     };
   }
@@ -194,11 +194,11 @@
     const zone = `z${number % this.recording.zones}`;
     const parts = this.partsOf(instance, zone, sinceMs);
     const { processor: has, linkBytesPerMs } = this.recording;
-    if (linkBytesPerMs) this.network.narrow(instance, linkBytesPerMs);
+    if (linkBytesPerMs) this.network.limitBandwidth(instance, linkBytesPerMs);
     if (has) {
-      const processor = Processor.of(this.timer, has.share);
+      const processor = SimulatedCpu.of(this.timer, has.share);
       this.processors[number] = processor;
-      this.network.employ(instance, processor, has.messageMs);
+      this.network.setMessageCost(instance, processor, has.messageMs);
     }
     const entry = BatchEntry.create({
       ...parts,
@@ -247,8 +247,8 @@
     const isDown = this.troubleOf(number)?.how === 'crash';
     if (isDown) return;
     const capacity = Resources.of({ cpuMilli, memoryMb: 100_000 });
-    const report: BackendReport = this.backends[number]!.report({ capacity });
-    this.sidecars[number]!.hear(report);
+    const report: BackendHeartbeat = this.backends[number]!.report({ capacity });
+    this.sidecars[number]!.handleHeartbeat(report);
   }
 
   private workOf(
@@ -328,7 +328,7 @@
 }
 
 /** Resolves when the processor has done something that takes this long, ms. */
-function ran(processor: Processor, costMs: number): Promise<void> {
+function ran(processor: SimulatedCpu, costMs: number): Promise<void> {
   return new Promise((resolve) => {
     processor.run(costMs, resolve);
   });
--- a/tools/replay/policies.ts
+++ b/tools/replay/policies.ts
@@ -1,7 +1,7 @@
 import type Batch from '../../src/batches/Batch';
 import type BatchPolicy from '../../src/batches/BatchPolicy';
 import choosePeer from '../../src/batches/choosePeer';
-import isOutOfTime from '../../src/batches/isOutOfTime';
+import shouldRefuseEarly from '../../src/batches/shouldRefuseEarly';
 import standardPolicy from '../../src/batches/standardPolicy';
 import type Urgency from '../../src/batches/Urgency';
 import withEarlyRefusal from '../../src/batches/withEarlyRefusal';
@@ -18,8 +18,8 @@
   plain: {
     ...standardPolicy,
     urgency: ({ arrivedAt }, now) => ({ rank: 0, slackMs: arrivedAt - now }),
-    shun: () => nobody,
-    move: () => false,
+    findOutliers: () => nobody,
+    shouldMove: () => false,
   },
   /** The queue's priority, then first come, first served. */
   priority: { ...standardPolicy, urgency: byPriority },
@@ -34,44 +34,44 @@
     },
   },
   /** Slow and failing backend servers get as much as the others. */
-  blind: { ...standardPolicy, shun: () => nobody },
+  blind: { ...standardPolicy, findOutliers: () => nobody },
   /** All backend servers are taken to work equally fast. */
   even: { ...standardPolicy, speeds: () => new Map() },
   /** Estimates are taken as they come. */
-  stated: { ...standardPolicy, expect: (_durations, _queue, estimateMs) => estimateMs },
+  stated: { ...standardPolicy, predictDuration: (_durations, _queue, estimateMs) => estimateMs },
   /** All that ran at a backend server that crashed is suspected alike, and given up at the second time. */
   alike: {
     ...standardPolicy,
-    giveUp: ({ crashes }) => crashes >= 2,
+    exceedsCrashLimit: ({ crashes }) => crashes >= 2,
     choose: ({ task, ...choice }) => choosePeer({ ...choice, task: { ...task, suspicion: 0 } }),
   },
   /** A task is given up as soon as it was the likeliest cause of two crashes. */
-  hasty: { ...standardPolicy, giveUp: ({ suspicion }) => suspicion >= 2 },
+  hasty: { ...standardPolicy, exceedsCrashLimit: ({ suspicion }) => suspicion >= 2 },
   /** All that ran at backend servers that crashed is suspected, also when many crash together. */
   suspecting: { ...standardPolicy, judgeCrashes: () => ({ excused: [], blamed: [] }) },
   /** A task is started however many backend servers crash under it. */
-  trusting: { ...standardPolicy, giveUp: () => false },
+  trusting: { ...standardPolicy, exceedsCrashLimit: () => false },
   /** Each task of a batch is placed by itself. */
-  scattered: { ...standardPolicy, join: () => false },
+  scattered: { ...standardPolicy, canShareMessage: () => false },
   /** What is predicted to be late is refused early. */
   refusing,
   /** Starts are predicted by the entry's own line only. */
-  local: { ...refusing, pool: ([own]) => own!.load },
+  local: { ...refusing, poolLoads: ([own]) => own!.load },
   /** What is predicted to be late is refused when it arrives, however small the chance to be wrong. */
   prompt: {
     ...refusing,
-    refuse: (prospect) =>
-      prospect.isWaiting ? isOutOfTime(prospect) : prospect.waitMs > prospect.slackMs,
+    shouldRefuse: (prospect) =>
+      prospect.isWaiting ? shouldRefuseEarly(prospect) : prospect.waitMs > prospect.slackMs,
   },
   /** Batches are refused when they are late, and none when it arrives. */
   late: {
     ...refusing,
-    refuse: (prospect) => prospect.isWaiting && isOutOfTime(prospect),
+    shouldRefuse: (prospect) => prospect.isWaiting && shouldRefuseEarly(prospect),
   },
   /** Room for a task of 1.5 cores is kept free for the two most urgent priorities. */
   reserve: withReserve(standardPolicy, { cpuMilli: 1_500, urgentBelow: 2 }),
   /** Runs stay where they are, however they crawl. */
-  still: { ...standardPolicy, move: () => false },
+  still: { ...standardPolicy, shouldMove: () => false },
 };
 
 function byPriority({ submission, arrivedAt }: Batch, now: number): Urgency {
--- a/tools/soak/BackendServer.ts
+++ b/tools/soak/BackendServer.ts
@@ -221,7 +221,7 @@
     ),
   hold: (life, body) =>
     life
-      .hold(body.last_seen ?? 0, body.fencing_token ?? 0, body.wait_ms ?? 0, 0, body.deadline_ms)
+      .poll(body.last_seen ?? 0, body.fencing_token ?? 0, body.wait_ms ?? 0, 0, body.deadline_ms)
       .match(
         ({ born, running, ended }) => ({
           status: 200,
