--- a/test/batches/CapacitySearch.test.ts
+++ b/test/batches/CapacitySearch.test.ts
@@ -9,7 +9,7 @@
   readonly service: string;
   readonly isUsable: boolean;
   readonly capacity: Resources;
-  isAsked: boolean;
+  hasDemand: boolean;
 }
 
 const small = Resources.of({ cpuMilli: 1_000 });
@@ -17,7 +17,7 @@
 function sidecars(count: number, change: Partial<Sidecar> = {}): Sidecar[] {
   const capacity = Resources.of({ cpuMilli: 8_000 });
   return Array.from({ length: count }, (_, number) => ({
-    ...{ name: `s${number}`, service: 'a', isUsable: true, isAsked: false, capacity },
+    ...{ name: `s${number}`, service: 'a', isUsable: true, hasDemand: false, capacity },
     ...change,
   }));
 }
@@ -30,9 +30,9 @@
     const heads = new Map(needs === Resources.none ? [] : [['a', head]]);
     const asked = search.select(all as unknown as readonly SidecarPeer[], heads, now);
     all.forEach((sidecar) => {
-      sidecar.isAsked = asked.has(sidecar as unknown as SidecarPeer);
+      sidecar.hasDemand = asked.has(sidecar as unknown as SidecarPeer);
     });
-    return all.filter(({ isAsked }) => isAsked).map(({ name }) => name);
+    return all.filter(({ hasDemand }) => hasDemand).map(({ name }) => name);
   };
 }
 
--- a/test/entry/unhandledMessages.test.ts
+++ b/test/entry/unhandledMessages.test.ts
@@ -62,7 +62,7 @@
   const seen = await serve((options, hear) => {
     const told = (name: string) => () => hear(name);
     const dispatcher = { linkOpened: () => undefined, linkEnded: told('unlinked') };
-    const parts = { ...dispatcher, done: told('done'), granted: told('grant') };
+    const parts = { ...dispatcher, handleDone: told('done'), handleGrant: told('grant') };
     return SidecarLinks.create(options, parts as never, {} as never);
   });
   expect(seen).toEqual(['done', 'failed: done', 'grant', 'unlinked']);
