--- a/src/batches/EntryPeers.ts
+++ b/src/batches/EntryPeers.ts
@@ -54,7 +54,7 @@
     const handlers = {
       ...noJobHandlers,
       link: (link: Link) => this.accept(link),
-      failed: (error: unknown) => log.warn('a link could not be accepted or served', { error }),
+      onError: (error: unknown) => log.warn('a link could not be accepted or served', { error }),
     };
     const res = await network.listen(listen, () => this.hello(0n), handlers);
     this.mesh.updateDials();
