--- a/src/entry/ActiveManifest.ts
+++ b/src/entry/ActiveManifest.ts
@@ -5,11 +5,11 @@
 import type ServiceConfig from '../settings/ServiceConfig';
 import type TeamConfig from '../settings/TeamConfig';
 
-/** The manifest in force, with the look-ups that the parts of an entry make. */
+/** The active manifest, with lookups by service and team. */
 export default class ActiveManifest {
   private manifest: Manifest | undefined;
 
-  private all: Manifest | undefined;
+  private manifestWithRemoved: Manifest | undefined;
 
   private readonly services = new Map<string, ServiceConfig>();
 
@@ -17,41 +17,41 @@
 
   private constructor() {}
 
-  /** Follows the configurations that a process adopts. */
+  /** Creates an instance that follows the configurations that a process adopts. */
   static follow(configurations: Versioned<Configuration>): ActiveManifest {
-    const view = new ActiveManifest();
-    if (configurations.number > 0n) view.read(configurations.current);
-    configurations.subscribe((configuration) => view.read(configuration));
-    return view;
+    const active = new ActiveManifest();
+    if (configurations.number > 0n) active.apply(configurations.current);
+    configurations.subscribe((configuration) => active.apply(configuration));
+    return active;
   }
 
-  /** The manifest; undefined before the first configuration. */
+  /** The active manifest; undefined before the first configuration. */
   get current(): Manifest | undefined {
     return this.manifest;
   }
 
   /**
-   * The manifest together with the services and teams that were removed: what
-   * was submitted for them before can still be asked for.
+   * The active manifest together with removed services and teams, since jobs
+   * submitted for them earlier can still be looked up.
    */
   get withRemoved(): Manifest | undefined {
-    return this.all;
+    return this.manifestWithRemoved;
   }
 
   /**
-   * A service's configuration. One that has been removed from the manifest
-   * stays known as it last was, so that its work in flight can finish.
+   * A service's configuration. A service that has been removed from the manifest
+   * keeps its last configuration, so that its work in flight can finish.
    */
   service(name: string): ServiceConfig | undefined {
     return this.services.get(name);
   }
 
-  /** Whether the manifest in force has the service. */
-  offers(name: string): boolean {
+  /** Whether the active manifest has the service. */
+  offersService(name: string): boolean {
     return this.manifest?.services.some((service) => service.name === name) ?? false;
   }
 
-  /** Whether new work of the team is taken. */
+  /** Whether new work of the team is accepted. */
   offersTeam(team: string): boolean {
     if (!this.manifest) return false;
     const { teams, system } = this.manifest;
@@ -63,7 +63,7 @@
     return this.teams.get(team)?.share ?? 1;
   }
 
-  /** How many tasks of a team may run at once; undefined for no limit. */
+  /** How many tasks of a team may run at once; undefined if there is no limit. */
   maxRunningOf(team: string): number | undefined {
     return this.teams.get(team)?.maxRunning;
   }
@@ -73,8 +73,11 @@
     return Math.max(0, ...[...this.services.values()].map(({ retentionMs }) => retentionMs));
   }
 
-  /** Puts a configuration in force, with its defaults filled in; what is no manifest leaves the last one. */
-  private read(configuration: Configuration): void {
+  /**
+   * Activates a configuration, with its defaults filled in. A text that is not a
+   * valid manifest is ignored and the last one stays active.
+   */
+  private apply(configuration: Configuration): void {
     const manifest = parse(configuration.manifest);
     if (!validateManifest(manifest)) return;
     this.manifest = manifest as Manifest;
@@ -86,7 +89,7 @@
       this.teams.set(team.name, team),
     );
     const services = [...this.services.values()];
-    this.all = { ...this.manifest, services, teams: [...this.teams.values()] };
+    this.manifestWithRemoved = { ...this.manifest, services, teams: [...this.teams.values()] };
   }
 }
 
--- a/src/entry/Admission.ts
+++ b/src/entry/Admission.ts
@@ -8,27 +8,28 @@
 } from '../gen/magnoliakeel/v1/peer_pb';
 import type AdmissionOptions from './AdmissionOptions';
 
-/** Decides whether an entry takes a submission on, before anything of it runs. */
+/** Decides whether an entry accepts a submission, before any of its tasks run. */
 export default class Admission {
   private constructor(
     private readonly options: AdmissionOptions,
     private readonly random: Random,
   ) {}
 
-  /** Creates the admission of an entry. */
+  /** Creates the admission control of an entry. */
   static create(options: AdmissionOptions, random: Random): Admission {
     return new Admission(options, random);
   }
 
   /**
-   * The answer to a submission that is not taken on; undefined for one that
-   * is. One that continues a job may be of a service or a team that was removed.
+   * The answer to a submission that is refused; undefined for one that is accepted.
+   * A submission that continues a job may belong to a service or a team that was
+   * removed.
    */
   refusalFor(submission: Submission, keptBytes: number, isContinued: boolean): Answer | undefined {
-    const { manifest, recordBytes, queued, isLeaving } = this.options;
+    const { manifest, recordBytes, queueLength, isLeaving } = this.options;
     if (isLeaving()) return this.notRun('this entry is leaving');
     const service = manifest.service(submission.service);
-    if (!service || (!isContinued && !manifest.offers(submission.service))) {
+    if (!service || (!isContinued && !manifest.offersService(submission.service))) {
       const reason = `there is no service "${submission.service}"`;
       return create(AnswerSchema, { outcome: Outcome.INVALID, reason });
     }
@@ -37,12 +38,12 @@
       return create(AnswerSchema, { outcome: Outcome.INVALID, reason });
     }
     if (keptBytes > recordBytes) return this.notRun('the memory for job records is full');
-    if (queued(submission.service) + submission.inputs.length > service.queue.maxTasks) {
+    if (queueLength(submission.service) + submission.inputs.length > service.queue.maxTasks) {
       return this.notRun('the queue of the service is full');
     }
     const waitMs = this.options.predictedWaitMs(submission.service, submission.team);
-    const timeMs = Math.min(submission.deadlineMs || service.jobTimeoutMs, service.jobTimeoutMs);
-    if (!isContinued && waitMs > timeMs * WAIT_SHARE) {
+    const limitMs = Math.min(submission.deadlineMs || service.jobTimeoutMs, service.jobTimeoutMs);
+    if (!isContinued && waitMs > limitMs * MAX_WAIT_SHARE) {
       return this.notRun('the wait would take too much of the time');
     }
     return undefined;
@@ -54,7 +55,7 @@
   }
 }
 
-/** Part of the caller's time that waiting may take; the rest is for running. */
-const WAIT_SHARE = 0.5;
+/** Share of the caller's time that may be spent waiting; the rest is for running. */
+const MAX_WAIT_SHARE = 0.5;
 
 const RETRY_AFTER_MS = 1000;
--- a/src/entry/AdmissionOptions.ts
+++ b/src/entry/AdmissionOptions.ts
@@ -1,13 +1,13 @@
 import type ActiveManifest from './ActiveManifest';
 
-/** What admission looks at. */
+/** The state that admission control decides by. */
 export default interface AdmissionOptions {
   readonly manifest: ActiveManifest;
-  /** Bytes that job records may take. */
+  /** Memory limit for job records, in bytes. */
   readonly recordBytes: number;
   /** Number of tasks waiting for a service. */
-  readonly queued: (service: string) => number;
-  /** How long a further task of a team would wait. */
+  readonly queueLength: (service: string) => number;
+  /** Predicted wait of one more task of a team, in milliseconds. */
   readonly predictedWaitMs: (service: string, team: string) => number;
   readonly isLeaving: () => boolean;
 }
--- a/src/entry/Entry.ts
+++ b/src/entry/Entry.ts
@@ -52,8 +52,9 @@
 import traceRequest from './traceRequest';
 
 /**
- * The process that takes callers' requests. It owns the jobs that fall to it
- * in the view, dispatches their tasks and answers; other jobs it forwards.
+ * The process that accepts callers' requests. It owns the jobs whose keys the view
+ * assigns to it, dispatches their tasks and answers the callers. Other jobs are
+ * forwarded to their owners.
  */
 export default class Entry {
   readonly views = Versioned.of<View>(create(ViewSchema), ({ number }) => number);
@@ -81,7 +82,7 @@
 
   private readonly callers: CallerServer;
 
-  private readonly budget: RetryBudget;
+  private readonly retryBudget: RetryBudget;
 
   private readonly identity: EntryIdentity;
 
@@ -93,9 +94,9 @@
 
   private listener: Listener | undefined;
 
-  private watch: StoreWatch | undefined;
+  private storeWatch: StoreWatch | undefined;
 
-  private readonly seeds: SeedLinks;
+  private readonly seedLinks: SeedLinks;
 
   private constructor(private readonly options: EntryOptions) {
     this.identity = EntryIdentity.of(options, () => this.addresses?.peers);
@@ -104,39 +105,42 @@
       views: this.views,
       isSuspected: (incarnation) => this.entryLinks.isSuspected(incarnation),
     });
-    this.budget = RetryBudget.create((name) => this.manifest.service(name)?.retryBudget ?? 0);
+    this.retryBudget = RetryBudget.create((name) => this.manifest.service(name)?.retryBudget ?? 0);
     this.dispatcher = this.createDispatcher();
     this.recovery = this.createRecovery();
     this.jobs = this.createJobs();
     this.router = this.createRouter();
-    this.rosterBroadcaster = this.createSightings();
+    this.rosterBroadcaster = this.createRosterBroadcaster();
     this.sidecarLinks = this.createSidecarLinks();
     this.entryLinks = this.createEntryLinks();
-    this.seeds = this.createSeedLinks();
+    this.seedLinks = this.createSeedLinks();
     this.callers = this.createCallerServer();
   }
 
-  /** Creates an entry that neither listens nor works yet. */
+  /** Creates an entry that is not listening or running yet. */
   static create(options: EntryOptions): Entry {
     return new Entry(options);
   }
 
-  /** The name of this run of the process. */
+  /** Identifies this run of the process; a restart gets a new one. */
   get incarnation(): string {
     return this.options.incarnation;
   }
 
-  /** Whether the view names this entry, so that it can own jobs. */
+  /** Whether the view lists this entry. Only members own jobs. */
   get isMember(): boolean {
     return this.isIn(this.views.current);
   }
 
-  /** Whether requests can be served: a configuration is in force and there is a view. */
+  /** Whether requests can be served: a configuration is active and a view is known. */
   get isReady(): boolean {
     return !this.leaving && this.callersManifest !== undefined && this.views.number > 0n;
   }
 
-  /** Opens the listening addresses. The error says which could not be had and why. */
+  /**
+   * Binds both listening addresses. The error names the address that could not be
+   * bound and why.
+   */
   async listen(): Promise<Result<EntryAddresses, string>> {
     const peers = await this.listenToPeers();
     if (peers.isErr()) return err(peers.error);
@@ -147,13 +151,13 @@
     return ok(this.addresses);
   }
 
-  /** Opens the address for other processes only; for callers in this process, who use `submit`. */
+  /** Binds only the address for other processes. Callers within this process use `submit`. */
   async listenToPeers(): Promise<Result<string, string>> {
     const { peers } = this.options.settings.listen;
     const { network, log } = this.options;
-    const failed = (error: unknown): void =>
+    const onError = (error: unknown): void =>
       log.error(`a link could not be accepted or served: ${error}`);
-    const handlers = { ...createPeerHandlers(this), failed };
+    const handlers = { ...createPeerHandlers(this), onError };
     const listener = await network.listen(peers, () => this.identity.hello(), handlers);
     if (listener.isErr()) return err(`${peers}: ${listener.error.reason}`);
     this.listener = listener.value;
@@ -161,59 +165,65 @@
   }
 
   /**
-   * Works until the signal aborts and then leaves: jobs are finished, their
-   * records handed over. Ends with `removed` when the others removed it, as
-   * after a long pause.
+   * Runs until the signal aborts and then shuts down gracefully: open jobs are
+   * finished and their records handed over. Resolves to `removed` when the other
+   * members removed this entry from the view, for example after a long pause.
    */
   async run(signal: AbortSignal): Promise<'stopped' | 'removed'> {
     const stop = new AbortController();
     const membership = this.createMembership();
-    this.watch = this.createWatch(membership);
-    const watching = Promise.all([this.watch.run(stop.signal), this.seeds.run(stop.signal)]);
+    this.storeWatch = this.createStoreWatch(membership);
+    const watchers = Promise.all([
+      this.storeWatch.run(stop.signal),
+      this.seedLinks.run(stop.signal),
+    ]);
     const unsubscribe = this.subscribe();
-    const sweep = this.options.timer.every(SWEEP_MS, () => this.sweep());
+    const expiryTimer = this.options.timer.every(EXPIRY_INTERVAL_MS, () => this.dropExpired());
     const ended = await Promise.race([membership.run(stop.signal), whenAborted(signal)]);
     if (ended !== 'removed') await this.leave(membership);
-    else await this.finishCallers();
-    sweep.cancel();
+    else await this.drain();
+    expiryTimer.cancel();
     unsubscribe();
     stop.abort();
-    await watching;
+    await watchers;
     await this.close();
     return ended === 'removed' ? 'removed' : 'stopped';
   }
 
-  /** The answer to a caller's submission. */
-  async submit(request: CallerSubmission, gone: AbortSignal): Promise<Answer> {
+  /** Answers a caller's submission. */
+  async submit(request: CallerSubmission, callerGone: AbortSignal): Promise<Answer> {
     const { tracer } = this.options;
-    const answer = await traceRequest(tracer, request, (traced) => this.answerTo(traced, gone));
+    const answer = await traceRequest(tracer, request, (traced) =>
+      this.answerTo(traced, callerGone),
+    );
     this.options.metrics?.requestAnswered(request.submission.service, answer.outcome);
     return answer;
   }
 
   private async answerTo(
     { submission, keyed }: CallerSubmission,
-    gone: AbortSignal,
+    callerGone: AbortSignal,
   ): Promise<Answer> {
-    this.budget.deposit(submission.service);
-    if (keyed) return this.router.submit(submission, gone);
+    this.retryBudget.deposit(submission.service);
+    if (keyed) return this.router.submit(submission, callerGone);
     if (!this.isMember) return notRun('this entry is not a member of the view');
-    return this.jobs.runOnce(submission, gone);
+    return this.jobs.runOnce(submission, callerGone);
   }
 
-  /** What operators see of this entry. */
+  /** Describes this entry for operators, with one job's record if the request names a job. */
   inspect(req: InspectRequest): InspectResponse {
     return inspectEntry(this, this.options, this.leaving, req.job);
   }
 
   /**
-   * The manifest for callers' requests. It is used once the store or all the
-   * peers of the settings have been asked, so that an entry that starts again
-   * does not go back to a version older than one it had.
+   * The manifest that callers' requests are checked against. It is undefined until
+   * the store has been listed or all peers in the settings have been contacted, so
+   * that a restarted entry does not fall back to a version older than one it used
+   * before.
    */
   private get callersManifest(): Manifest | undefined {
-    const hasAsked = this.seeds.hasContactedAll || this.watch?.hasListed;
-    return hasAsked ? this.manifest.withRemoved : undefined;
+    const hasSynced = this.seedLinks.hasContactedAll || this.storeWatch?.hasListed;
+    return hasSynced ? this.manifest.withRemoved : undefined;
   }
 
   private subscribe(): () => void {
@@ -235,7 +245,7 @@
     this.options.metrics?.viewChanged(view);
     this.sidecarLinks.broadcast({ case: 'view', value: view });
     this.entryLinks.broadcast({ case: 'view', value: view });
-    this.entryLinks.follow(view);
+    this.entryLinks.followView(view);
     if (!this.isIn(view) && view.past.some((past) => past.incarnations.includes(this.self))) {
       this.options.log.warn('this entry was removed from the view');
       this.jobs.abortOpenJobs();
@@ -247,43 +257,43 @@
     this.leaving = true;
     this.options.log.info('leaving');
     await membership.markLeaving();
-    await this.finishCallers();
+    await this.drain();
     const { jobs, views, options } = this;
-    const isTaken = await handOverRecords(
+    const allAccepted = await handOverRecords(
       jobs.answeredRecords(),
       views.current,
       this.self,
       options.network,
     );
-    await membership.leave(isTaken && jobs.openCount === 0);
+    await membership.leave(allAccepted && jobs.openCount === 0);
     this.sidecarLinks.broadcast({ case: 'goodbye', value: create(GoodbyeSchema) });
     this.entryLinks.broadcast({ case: 'goodbye', value: create(GoodbyeSchema) });
   }
 
-  /** Waits until callers have their answers and no job is open, at most for the drain time. */
-  private async finishCallers(): Promise<void> {
+  /** Waits until callers are answered and no job is open, for at most the drain time. */
+  private async drain(): Promise<void> {
     const { timer, settings } = this.options;
     const deadline = timer.now() + settings.stop.drainMs;
     const closed = this.callers.close(settings.stop.drainMs);
-    await Promise.race([closed, timer.sleep(settings.stop.drainMs + LINGER_MS)]);
+    await Promise.race([closed, timer.sleep(settings.stop.drainMs + FLUSH_MS)]);
     while (this.jobs.openCount > 0 && timer.now() < deadline) await timer.sleep(DRAIN_POLL_MS);
   }
 
   private async close(): Promise<void> {
-    await this.options.timer.sleep(LINGER_MS);
+    await this.options.timer.sleep(FLUSH_MS);
     this.entryLinks.close();
     this.sidecarLinks.close();
     await this.listener?.close();
   }
 
-  private sweep(): void {
+  private dropExpired(): void {
     this.jobs.dropExpired();
     const { timer, settings } = this.options;
-    const keepMs = this.manifest.longestRetentionMs + settings.recovery.clockSkewMs;
-    this.recovery.expire(timer.wall() - keepMs);
+    const retentionMs = this.manifest.longestRetentionMs + settings.recovery.clockSkewMs;
+    this.recovery.expire(timer.wall() - retentionMs);
   }
 
-  private greet(link: Link): void {
+  private sendInitialState(link: Link): void {
     if (this.views.number > 0n) link.send({ case: 'view', value: this.views.current });
     if (this.configurations.number > 0n) {
       link.send({ case: 'configuration', value: this.configurations.current });
@@ -293,12 +303,17 @@
     link.send({ case: 'heartbeat', value: this.heartbeat() });
   }
 
-  /** One message that cannot be handled, as of a later version, ends neither its link nor this process. */
-  private unhandled({ instance }: Hello, message: PeerMessage, error: unknown): void {
-    this.options.log.warn(`a ${message.case} of ${instance} could not be handled: ${error}`);
+  /**
+   * A message that cannot be handled, such as one of a later version, closes
+   * neither its link nor this process.
+   */
+  private logUnhandled({ instance }: Hello, message: PeerMessage, error: unknown): void {
+    this.options.log.warn(
+      `a ${message.case} message from ${instance} could not be handled: ${error}`,
+    );
   }
 
-  /** A heartbeat with the loads of every service, or with those that concern the receiver. */
+  /** A heartbeat with the loads of all services, or only with those that the receiver needs. */
   private heartbeat(loads = this.dispatcher.serviceLoads()): Heartbeat {
     return create(HeartbeatSchema, {
       loads,
@@ -315,7 +330,7 @@
     return isMember(view, this.self);
   }
 
-  private ownsNew(key: string): boolean {
+  private ownsKey(key: string): boolean {
     return ownerOf(key, ownersIn(this.views.current)) === this.self;
   }
 
@@ -331,7 +346,7 @@
       weightOf: (team) => this.manifest.shareOf(team),
       maxRunningOf: (team) => this.manifest.maxRunningOf(team),
       ejectionLimitsOf: (name) => this.manifest.service(name)?.eject,
-      takeRetry: (service) => this.budget.tryWithdraw(service),
+      takeRetry: (service) => this.retryBudget.tryWithdraw(service),
       sendToEntry: (incarnation, message) => this.entryLinks.send(incarnation, message),
     });
   }
@@ -355,7 +370,7 @@
       {
         manifest: this.manifest,
         recordBytes: settings.limits.recordBytes,
-        queued: (service) => this.dispatcher.queuedCount(service),
+        queueLength: (service) => this.dispatcher.queuedCount(service),
         predictedWaitMs: (service, team) => this.dispatcher.predictedWaitMs(service, team),
         isLeaving: () => this.leaving,
       },
@@ -367,13 +382,13 @@
         timer,
         metrics: this.options.metrics,
         clockSkewMs: settings.recovery.clockSkewMs,
-        ownsNew: (key) => this.ownsNew(key),
-        resolve: (key, createdMs) => this.recovery.recover(key, createdMs),
-        refuse: (submission, keptBytes, isContinued) =>
+        ownsKey: (key) => this.ownsKey(key),
+        recover: (key, createdMs) => this.recovery.recover(key, createdMs),
+        refusalFor: (submission, keptBytes, isContinued) =>
           admission.refusalFor(submission, keptBytes, isContinued),
-        retentionOf: (name) => service(name)?.retentionMs ?? this.manifest.longestRetentionMs,
-        taskTimeoutOf: (name) => service(name)!.timeoutMs,
-        jobTimeoutOf: (name) => service(name)!.jobTimeoutMs,
+        retentionMsOf: (name) => service(name)?.retentionMs ?? this.manifest.longestRetentionMs,
+        taskTimeoutMsOf: (name) => service(name)!.timeoutMs,
+        jobTimeoutMsOf: (name) => service(name)!.jobTimeoutMs,
       },
       this.dispatcher,
     );
@@ -391,14 +406,15 @@
         configurations: this.configurations,
         ownerWaitMs: settings.store.leaseMs + settings.heartbeat.suspectMs,
         isSuspected: (incarnation) => this.entryLinks.isSuspected(incarnation),
-        watchOwner: (incarnation, gone) => this.ownerWatch.watchOwner(incarnation, gone),
+        watchOwner: (incarnation, callerGone) =>
+          this.ownerWatch.watchOwner(incarnation, callerGone),
         nextViewOrDelay: (delayMs) => this.ownerWatch.nextViewOrDelay(delayMs),
       },
       this.jobs,
     );
   }
 
-  private createSightings(): RosterBroadcaster {
+  private createRosterBroadcaster(): RosterBroadcaster {
     return RosterBroadcaster.create({
       timer: this.options.timer,
       self: this.self,
@@ -422,14 +438,14 @@
         witnessMs: settings.recovery.witnessMs,
         keepAlive: settings.heartbeat,
         heartbeat: (peer) => this.heartbeat(this.dispatcher.oldestWaits(peer.services)),
-        greet: (link) => this.greet(link),
-        linked: (peer) => {
-          log.info(`sidecar ${peer.instance} linked`);
+        sendInitialState: (link) => this.sendInitialState(link),
+        onLinked: (peer) => {
+          log.info(`sidecar ${peer.instance} has linked`);
           this.rosterBroadcaster.sidecarLinked(peer);
         },
-        failed: (...what) => this.unhandled(...what),
-        ended: (peer) => {
-          log.info(`sidecar ${peer.instance} ended`);
+        onMessageError: (...args) => this.logUnhandled(...args),
+        onEnded: (peer) => {
+          log.info(`sidecar ${peer.instance} has ended`);
           this.rosterBroadcaster.sidecarEnded(peer);
         },
       },
@@ -449,31 +465,24 @@
       hello: () => this.identity.hello(),
       keepAlive: settings.heartbeat,
       heartbeat: () => this.heartbeat(),
-      greet: (link) => this.greet(link),
-      failed: (...what) => this.unhandled(...what),
-      receive: (from, message) => {
-        const {
-          views,
-          configurations,
-          dispatcher,
-          recovery,
-          entryLinks,
-          rosterBroadcaster: sightings,
-        } = this;
+      sendInitialState: (link) => this.sendInitialState(link),
+      onMessageError: (...args) => this.logUnhandled(...args),
+      onMessage: (from, message) => {
+        const { views, configurations, dispatcher, recovery, entryLinks, rosterBroadcaster } = this;
         const heartbeat = (): PeerMessage => ({ case: 'heartbeat', value: this.heartbeat() });
-        const parts = {
+        const context = {
           views,
           configurations,
           dispatcher,
           recovery,
           entryLinks,
-          sightings,
+          rosterBroadcaster,
           heartbeat,
           from,
         };
-        handleMessage(entryMessageHandlers, parts, message);
+        handleMessage(entryMessageHandlers, context, message);
       },
-      unlinked: (incarnation) => this.dispatcher.entryLost(incarnation),
+      onUnlinked: (incarnation) => this.dispatcher.entryLost(incarnation),
       onSuspicionChange: () => this.ownerWatch.recheck(),
     });
   }
@@ -490,7 +499,7 @@
       keepAlive: settings.heartbeat,
       views: this.views,
       configurations: this.configurations,
-      failed: (...what) => this.unhandled(...what),
+      onMessageError: (...args) => this.logUnhandled(...args),
       isNeeded: () => !this.leaving && !this.isMember && this.entryLinks.linked().length === 0,
     });
   }
@@ -506,9 +515,9 @@
       timer,
       random,
       isLeaving: () => this.leaving,
-      submit: (submission, gone) => this.submit(submission, gone),
+      submit: (submission, callerGone) => this.submit(submission, callerGone),
       failed: (error) =>
-        log.error(`internal error at a request: ${(error as Error).stack ?? error}`),
+        log.error(`internal error while serving a request: ${(error as Error).stack ?? error}`),
     });
   }
 
@@ -523,18 +532,18 @@
       isSuspected: (incarnation) => this.entryLinks.isSuspected(incarnation),
       retentionMs: () => this.manifest.longestRetentionMs,
       leaseMs: settings.store.leaseMs,
-      onLeaseRenewal: (isAnswered) => this.watch?.recordCallResult(isAnswered),
+      onLeaseRenewal: (isAnswered) => this.storeWatch?.recordCallResult(isAnswered),
     });
   }
 
-  private storeReached(failure: string | undefined): void {
+  private logStoreReachability(failure: string | undefined): void {
     const { log, settings } = this.options;
     const { address } = settings.store;
-    if (failure === undefined) log.info(`store ${address} answers again`);
+    if (failure === undefined) log.info(`store ${address} can be reached again`);
     else log.warn(`store ${address} cannot be reached: ${failure}; going on with what is known`);
   }
 
-  private createWatch(membership: Membership): StoreWatch {
+  private createStoreWatch(membership: Membership): StoreWatch {
     const { store, timer, random } = this.options;
     return StoreWatch.create({
       store,
@@ -543,29 +552,32 @@
       views: this.views,
       configurations: this.configurations,
       onLiveIncarnations: (present) => membership.setLiveIncarnations(present),
-      onReachabilityChange: (failure) => this.storeReached(failure),
+      onReachabilityChange: (failure) => this.logStoreReachability(failure),
     });
   }
 }
 
-/** How long a caller's request waits for a configuration that the caller has met before. */
+/**
+ * How long a caller's request waits for a configuration version that the caller has
+ * already seen.
+ */
 const VERSION_WAIT_MS = 2000;
 
 /** How often expired records are dropped. */
-const SWEEP_MS = 5000;
+const EXPIRY_INTERVAL_MS = 5000;
 
-/** How often a leaving entry looks whether its jobs are finished. */
+/** How often a leaving entry checks whether its jobs are finished. */
 const DRAIN_POLL_MS = 50;
 
-/** How long the last messages get to go out. */
-const LINGER_MS = 200;
+/** Time allowed for the last messages to be sent before links are closed. */
+const FLUSH_MS = 200;
 
 function notRun(reason: string): Answer {
-  return create(AnswerSchema, { outcome: Outcome.NOT_RUN, reason, retryAfterMs: COME_BACK_MS });
+  return create(AnswerSchema, { outcome: Outcome.NOT_RUN, reason, retryAfterMs: RETRY_AFTER_MS });
 }
 
-/** When a caller may try again at an entry that can't start anything now. */
-const COME_BACK_MS = 1000;
+/** Retry delay for callers of an entry that can't start anything at the moment. */
+const RETRY_AFTER_MS = 1000;
 
 function whenAborted(signal: AbortSignal): Promise<'stopped'> {
   return new Promise((resolve) => {
--- a/src/entry/EntryIdentity.ts
+++ b/src/entry/EntryIdentity.ts
@@ -9,19 +9,19 @@
 import PROTOCOL_VERSION from '../link/PROTOCOL_VERSION';
 import type EntryOptions from './EntryOptions';
 
-/** How an entry names itself to other processes and in the view. */
+/** How an entry identifies itself to other processes and in the view. */
 export default class EntryIdentity {
   private constructor(
     private readonly options: EntryOptions,
     private readonly peerAddress: () => string | undefined,
   ) {}
 
-  /** Creates the identity of an entry; `peerAddress` gives the address in use once it listens. */
+  /** Creates the identity of an entry; `peerAddress` returns the bound address once it listens. */
   static of(options: EntryOptions, peerAddress: () => string | undefined): EntryIdentity {
     return new EntryIdentity(options, peerAddress);
   }
 
-  /** The first message on each link. */
+  /** The first message that this entry sends on each link. */
   hello(): Hello {
     const { settings, incarnation } = this.options;
     return create(HelloSchema, {
@@ -36,7 +36,7 @@
     });
   }
 
-  /** This entry as the view names it. */
+  /** This entry as a member of the view. */
   member(): Member {
     const { settings, incarnation } = this.options;
     return create(MemberSchema, {
@@ -48,7 +48,10 @@
     });
   }
 
-  /** The advertised address; where it is the listening one with port 0, the port that was given. */
+  /**
+   * The advertised address. If it is the listening address, which may have port 0,
+   * the bound address is used.
+   */
   private get address(): string {
     const { advertise, listen } = this.options.settings;
     return advertise === listen.peers ? (this.peerAddress() ?? advertise) : advertise;
--- a/src/entry/EntryLinks.ts
+++ b/src/entry/EntryLinks.ts
@@ -8,19 +8,19 @@
 import type EntryPeer from './EntryPeer';
 
 /**
- * The links between this entry and the others: one for each pair, opened by
- * the one whose incarnation sorts first, and served by one task on each side.
+ * The links to the other entries. Each pair of entries has one link, dialled by the
+ * one whose incarnation sorts first and served by one async task on each side.
  */
 export default class EntryLinks {
   private readonly peers = new Map<string, EntryPeer>();
 
-  private readonly dialling = new Map<string, AbortController>();
+  private readonly dials = new Map<string, AbortController>();
 
-  private sessions = 0n;
+  private lastSession = 0n;
 
   private constructor(private readonly options: EntryLinksOptions) {}
 
-  /** Creates the links of an entry, none yet. */
+  /** Creates an empty set of links. */
   static create(options: EntryLinksOptions): EntryLinks {
     return new EntryLinks(options);
   }
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Whether an entry seems to be down. A wrong suspicion costs nothing but a
-   * detour; removal from the view is another matter, see `Membership`.
+   * Whether an entry seems to be down. A wrong suspicion costs only a retry;
+   * removal from the view is decided separately, see `Membership`.
    */
   isSuspected(incarnation: string): boolean {
     const peer = this.peers.get(incarnation);
@@ -43,7 +43,7 @@
     return this.options.timer.now() - peer.disconnectedAt >= this.options.keepAlive.suspectMs;
   }
 
-  /** Sends to an entry; false when there is no link to it. */
+  /** Sends a message to an entry; false when there is no link to it. */
   send(incarnation: string, message: PeerMessage): boolean {
     const link = this.peers.get(incarnation)?.link;
     link?.send(message);
@@ -55,68 +55,68 @@
     this.peers.forEach(({ link }) => link?.send(message));
   }
 
-  /** Keeps links to the members of a newer view, and forgets those that are no members any more. */
-  follow(view: View): void {
+  /** Maintains links to the members of a newer view and drops peers that are no longer members. */
+  followView(view: View): void {
     const others = view.members.filter(({ incarnation }) => incarnation !== this.options.self);
     others.forEach((member) => {
-      this.peerOf(member.incarnation);
-      if (this.options.self < member.incarnation) this.keepDialling(member);
+      this.getOrCreatePeer(member.incarnation);
+      if (this.options.self < member.incarnation) this.startDialling(member);
     });
-    const present = new Set(others.map(({ incarnation }) => incarnation));
+    const members = new Set(others.map(({ incarnation }) => incarnation));
     this.peers.forEach((peer, incarnation) => {
-      if (!present.has(incarnation)) this.forget(peer);
+      if (!members.has(incarnation)) this.remove(peer);
     });
   }
 
   /** Serves another entry's link until it ends. */
   async serve(link: Link): Promise<void> {
-    const peer = this.peerOf(link.peer.incarnation);
-    const older = peer.link;
+    const peer = this.getOrCreatePeer(link.peer.incarnation);
+    const previous = peer.link;
     peer.link = link;
     peer.suspected = false;
-    older?.close();
-    this.options.greet(link);
+    previous?.close();
+    this.options.sendInitialState(link);
     const keepAlive = KeepAlive.start(link, this.options.timer, this.options.keepAlive, {
       heartbeat: () => ({ case: 'heartbeat', value: this.options.heartbeat() }),
-      onSuspicionChange: (suspected) => this.suspect(peer, suspected),
+      onSuspicionChange: (suspected) => this.setSuspected(peer, suspected),
     });
     await readMessages(link, {
-      onMessage: (message) => this.options.receive(peer.incarnation, message),
-      onError: (message, error) => this.options.failed(link.peer, message, error),
+      onMessage: (message) => this.options.onMessage(peer.incarnation, message),
+      onError: (message, error) => this.options.onMessageError(link.peer, message, error),
     });
     keepAlive.stop();
-    this.end(peer, link);
+    this.linkEnded(peer, link);
   }
 
-  /** Ends all links and stops dialling. */
+  /** Closes all links and stops dialling. */
   close(): void {
-    this.dialling.forEach((dial) => dial.abort());
+    this.dials.forEach((controller) => controller.abort());
     this.peers.forEach(({ link }) => link?.close());
   }
 
-  private peerOf(incarnation: string): EntryPeer {
+  private getOrCreatePeer(incarnation: string): EntryPeer {
     let peer = this.peers.get(incarnation);
     if (!peer) {
-      const absentSince = this.options.timer.now();
-      peer = { incarnation, link: undefined, suspected: false, disconnectedAt: absentSince };
+      const disconnectedAt = this.options.timer.now();
+      peer = { incarnation, link: undefined, suspected: false, disconnectedAt };
       this.peers.set(incarnation, peer);
     }
     return peer;
   }
 
-  private keepDialling(member: Member): void {
-    if (this.dialling.has(member.incarnation)) return;
+  private startDialling(member: Member): void {
+    if (this.dials.has(member.incarnation)) return;
     const stop = new AbortController();
-    this.dialling.set(member.incarnation, stop);
+    this.dials.set(member.incarnation, stop);
     this.dial(member, stop.signal);
   }
 
   private async dial(member: Member, stop: AbortSignal): Promise<void> {
     const { timer, random, network, hello } = this.options;
-    const backoff = Backoff.of(FIRST_REDIAL_MS, LAST_REDIAL_MS, random);
+    const backoff = Backoff.of(MIN_REDIAL_MS, MAX_REDIAL_MS, random);
     while (!stop.aborted) {
-      this.sessions += 1n;
-      const dialled = await network.dial(member.address, { ...hello(), session: this.sessions });
+      this.lastSession += 1n;
+      const dialled = await network.dial(member.address, { ...hello(), session: this.lastSession });
       if (dialled.isOk()) {
         await this.serveOrClose(dialled.value, member, stop);
         backoff.reset();
@@ -133,32 +133,32 @@
     await this.serve(link);
   }
 
-  private suspect(peer: EntryPeer, suspected: boolean): void {
+  private setSuspected(peer: EntryPeer, suspected: boolean): void {
     peer.suspected = suspected;
     if (suspected) this.options.metrics?.suspected('entry');
     this.options.onSuspicionChange();
   }
 
-  private end(peer: EntryPeer, link: Link): void {
+  private linkEnded(peer: EntryPeer, link: Link): void {
     if (peer.link !== link) return;
     peer.link = undefined;
     peer.disconnectedAt = this.options.timer.now();
-    this.options.unlinked(peer.incarnation);
+    this.options.onUnlinked(peer.incarnation);
     this.options.timer.after(this.options.keepAlive.suspectMs, () =>
       this.options.onSuspicionChange(),
     );
   }
 
-  private forget(peer: EntryPeer): void {
+  private remove(peer: EntryPeer): void {
     this.peers.delete(peer.incarnation);
-    this.dialling.get(peer.incarnation)?.abort();
-    this.dialling.delete(peer.incarnation);
+    this.dials.get(peer.incarnation)?.abort();
+    this.dials.delete(peer.incarnation);
     const { link } = peer;
     peer.link = undefined;
     link?.close();
-    this.options.unlinked(peer.incarnation);
+    this.options.onUnlinked(peer.incarnation);
   }
 }
 
-const FIRST_REDIAL_MS = 100;
-const LAST_REDIAL_MS = 2000;
+const MIN_REDIAL_MS = 100;
+const MAX_REDIAL_MS = 2000;
--- a/src/entry/EntryLinksOptions.ts
+++ b/src/entry/EntryLinksOptions.ts
@@ -7,7 +7,7 @@
 import type PeerMessage from '../link/PeerMessage';
 import type EntryMetrics from '../observe/EntryMetrics';
 
-/** What the links between entries need from the entry around them. */
+/** Dependencies of the links between entries. */
 export default interface EntryLinksOptions {
   readonly timer: TimerService;
   readonly metrics?: EntryMetrics;
@@ -17,14 +17,14 @@
   readonly hello: () => Hello;
   readonly keepAlive: KeepAliveOptions;
   readonly heartbeat: () => Heartbeat;
-  /** Sends what a newly linked process has to know. */
-  readonly greet: (link: Link) => void;
+  /** Sends the current view, configuration and sidecar roster to a newly linked entry. */
+  readonly sendInitialState: (link: Link) => void;
   /** Handles a message from an entry. */
-  readonly receive: (incarnation: string, message: PeerMessage) => void;
-  /** Told of a message that could not be handled; the link goes on with the next. */
-  readonly failed: (peer: Hello, message: PeerMessage, error: unknown) => void;
-  /** Told when an entry's link has ended. */
-  readonly unlinked: (incarnation: string) => void;
-  /** Told when an entry's suspicion has changed. */
+  readonly onMessage: (incarnation: string, message: PeerMessage) => void;
+  /** Called with a message that could not be handled; the link continues with the next one. */
+  readonly onMessageError: (peer: Hello, message: PeerMessage, error: unknown) => void;
+  /** Called when the link to an entry has ended or the entry is no longer a member. */
+  readonly onUnlinked: (incarnation: string) => void;
+  /** Called when an entry may have become suspected or unsuspected. */
   readonly onSuspicionChange: () => void;
 }
--- a/src/entry/EntryMessageContext.ts
+++ b/src/entry/EntryMessageContext.ts
@@ -6,14 +6,14 @@
 import type EntryLinks from './EntryLinks';
 import type RosterBroadcaster from './RosterBroadcaster';
 
-/** The parts of an entry that messages from other entries act on. */
+/** The parts of an entry that handlers of messages from other entries use. */
 export default interface EntryMessageContext {
   readonly views: Versioned<View>;
   readonly configurations: Versioned<Configuration>;
   readonly dispatcher: Dispatcher;
   readonly recovery: Recovery;
   readonly entryLinks: EntryLinks;
-  readonly sightings: RosterBroadcaster;
+  readonly rosterBroadcaster: RosterBroadcaster;
   /** The next heartbeat to another entry. */
   readonly heartbeat: () => PeerMessage;
 }
--- a/src/entry/EntryOptions.ts
+++ b/src/entry/EntryOptions.ts
@@ -8,7 +8,7 @@
 import type EntrySettings from '../settings/EntrySettings';
 import type Store from '../store/Store';
 
-/** What an entry is built of. */
+/** Settings and dependencies of an entry. */
 export default interface EntryOptions {
   readonly settings: EntrySettings;
   /** Unique for each run of the process. */
@@ -16,14 +16,17 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly network: Network;
-  /** The certificate shown to callers; without it they are served in plain text. */
+  /** The certificate presented to callers; without it they are served in plain text. */
   readonly tls?: TlsCredentials;
   readonly store: Store;
-  /** Told of what this entry does. */
+  /** Counts the work of this entry. */
   readonly metrics?: EntryMetrics;
-  /** Traces requests; undefined when nothing is traced. */
+  /** Traces requests; undefined when tracing is off. */
   readonly tracer?: Tracer;
   readonly log: Pick<ConsolaInstance, 'error' | 'info' | 'warn'>;
-  /** Address of this process's operators' listener, once it listens; it is told to other processes. */
+  /**
+   * Returns the address of this process's operator listener once it listens; it is
+   * sent to other processes.
+   */
   readonly operators?: () => string;
 }
--- a/src/entry/InspectableEntry.ts
+++ b/src/entry/InspectableEntry.ts
@@ -2,7 +2,7 @@
 import type JobTable from './JobTable';
 import type SidecarLinks from './SidecarLinks';
 
-/** The parts of an entry that operators see. */
+/** The parts of an entry that are shown to operators. */
 export default interface InspectableEntry extends Pick<
   EntryMessageContext,
   'views' | 'configurations' | 'dispatcher'
--- a/src/entry/Job.ts
+++ b/src/entry/Job.ts
@@ -14,32 +14,32 @@
 import aggregateResults from './aggregateResults';
 
 /**
- * The one record of a job at its owner: its results as they come in, where its
- * tasks were started, and in the end its answer. Each task's result is bound
- * to its index; the first result counts and later ones are ignored. The answer
- * is kept packed, since most records are never asked for again and there are
+ * The owner's only record of a job: its results as they arrive, the sidecars at
+ * which its tasks were started, and finally its answer. Results are stored by task
+ * index; the first result of a task counts and later ones are ignored. The answer
+ * is kept serialized, since most records are never requested again and there are
  * very many of them.
  */
 export default class Job {
-  /** Where each task was started last, by sidecar incarnation. */
+  /** Incarnation of the sidecar at which each task was last started, by task index. */
   readonly taskSidecars: (string | undefined)[];
 
   private results: (TaskResult | undefined)[];
 
-  /** How each task ended; 0 while it has not. */
+  /** Final status of each task; 0 while it has not ended. */
   private readonly statuses: Uint8Array;
 
   private readonly waiters = new Set<(answer: Answer) => void>();
 
-  /** True once this entry may not act for the job any more; its next owner continues it. */
+  /** True once this entry may no longer act for the job; its next owner continues it. */
   ownershipLost = false;
 
-  /** Bytes of the inputs, which are kept while the job is open. */
+  /** Size of the inputs in bytes; they are kept while the job is open. */
   inputBytes = 0;
 
-  private finished = 0;
+  private finishedCount = 0;
 
-  private final: PackedAnswer | undefined;
+  private serializedAnswer: SerializedAnswer | undefined;
 
   private constructor(
     readonly key: string,
@@ -47,7 +47,7 @@
     readonly digest: string,
     readonly createdMs: number,
     readonly size: number,
-    /** When this entry accepted it, by the timer service. */
+    /** Monotonic time at which this entry accepted the job. */
     readonly acceptedAt: number,
   ) {
     this.taskSidecars = new Array(size);
@@ -55,7 +55,7 @@
     this.statuses = new Uint8Array(size);
   }
 
-  /** Creates the record of a job that was just accepted. */
+  /** Creates the record of a newly accepted job. */
   static fromSubmission(key: string, submission: Submission, now: number): Job {
     const { service, digest, createdMs, inputs } = submission;
     const job = new Job(key, service, digest, Number(createdMs), inputs.length, now);
@@ -71,99 +71,102 @@
     return job;
   }
 
-  /** The record for the job's next owner, once there is an answer. */
+  /** The record to hand over to the job's next owner, once there is an answer. */
   get record(): JobRecord | undefined {
     const { key: job, digest, answer } = this;
     if (!answer) return undefined;
-    const sidecars = [...new Set(this.taskSidecars)].filter((place) => place !== undefined);
+    const sidecars = [...new Set(this.taskSidecars)].filter((sidecar) => sidecar !== undefined);
     const createdMs = BigInt(this.createdMs);
     return create(JobRecordSchema, { job, digest, createdMs, answer, sidecars });
   }
 
   /** Whether there is a final answer. */
   get isAnswered(): boolean {
-    return this.final !== undefined;
+    return this.serializedAnswer !== undefined;
   }
 
   /** The outcome of the final answer, once there is one. */
   get outcome(): Outcome | undefined {
-    return this.final?.outcome;
+    return this.serializedAnswer?.outcome;
   }
 
-  /** The final answer, once there is one, unpacked anew at each call. */
+  /** The final answer, once there is one. It is deserialized at each call. */
   get answer(): Answer | undefined {
-    return this.final && fromBinary(AnswerSchema, this.final.bytes);
+    return this.serializedAnswer && fromBinary(AnswerSchema, this.serializedAnswer.bytes);
   }
 
-  /** Bytes that the record keeps, once it has its answer. */
+  /** Memory that the record uses once it has its answer, in bytes. */
   get bytes(): number {
-    return RECORD_BYTES + this.size * TASK_BYTES + (this.final?.bytes.length ?? 0);
+    return RECORD_BYTES + this.size * TASK_BYTES + (this.serializedAnswer?.bytes.length ?? 0);
   }
 
-  /** Notes that a task is about to be started at a sidecar. */
+  /** Records that a task is about to be started at a sidecar. */
   recordStart(index: number, sidecar: string): void {
     this.taskSidecars[index] = sidecar;
   }
 
-  /** Notes that the last start of a task was proven not to have run. */
+  /** Records that the last start of a task is known not to have run. */
   clearStart(index: number): void {
     this.taskSidecars[index] = undefined;
   }
 
-  /** Whether some task may have been started. */
+  /** Whether any task may have been started. */
   get hasStartedTasks(): boolean {
-    return this.taskSidecars.some((place) => place !== undefined);
+    return this.taskSidecars.some((sidecar) => sidecar !== undefined);
   }
 
-  /** How a task ended; undefined while it has not. */
+  /** Final status of a task; undefined while it has not ended. */
   statusOf(index: number): TaskStatus | undefined {
     return this.statuses[index] || undefined;
   }
 
-  /** Takes a task's result and finishes the job when nothing else can change its outcome. */
+  /** Records a task's result and finishes the job when no further result can change its outcome. */
   recordResult(result: TaskResult): void {
-    if (this.final || this.results[result.index]) return;
+    if (this.serializedAnswer || this.results[result.index]) return;
     this.results[result.index] = result;
     this.statuses[result.index] = result.status;
-    this.finished += 1;
-    const verdict = aggregateResults(this.results, this.finished, this.hasStartedTasks);
-    if (verdict) this.finish(verdict);
+    this.finishedCount += 1;
+    const answer = aggregateResults(this.results, this.finishedCount, this.hasStartedTasks);
+    if (answer) this.finish(answer);
   }
 
-  /** Ends the job with an outcome that its results do not give: cancelled or out of time. */
+  /**
+   * Ends the job with an outcome that does not follow from its results: a
+   * cancellation or a passed deadline.
+   */
   end(outcome: Outcome, reason: string, retryAfterMs = 0): void {
-    if (this.final) return;
+    if (this.serializedAnswer) return;
     this.finish(create(AnswerSchema, { outcome, reason, size: this.size, retryAfterMs }));
   }
 
-  /** Where the job stands now. */
+  /** The final answer, or a pending one with the number of finished tasks. */
   progress(): Answer {
     return (
       this.answer ??
       create(AnswerSchema, {
         outcome: Outcome.PENDING,
         size: this.size,
-        finished: this.finished,
+        finished: this.finishedCount,
       })
     );
   }
 
-  /** The answer, or where the job stands when the wait is over first. */
+  /** The final answer, or the progress so far if the wait ends first. */
   waitForAnswer(waitMs: number, timer: TimerService): Promise<Answer> {
-    if (this.final || waitMs <= 0) return Promise.resolve(this.progress());
+    if (this.serializedAnswer || waitMs <= 0) return Promise.resolve(this.progress());
     return new Promise((resolve) => {
       let timeout: Subscription | undefined;
-      const settle = (answer: Answer) => {
+      const finishWait = (answer: Answer) => {
         timeout?.cancel();
-        this.waiters.delete(settle);
+        this.waiters.delete(finishWait);
         resolve(answer);
       };
-      timeout = timer.after(waitMs, () => settle(this.progress()));
-      this.waiters.add(settle);
+      timeout = timer.after(waitMs, () => finishWait(this.progress()));
+      this.waiters.add(finishWait);
     });
   }
 
-  /** The answer, however long it takes. */
+  /** Resolves with the final answer, without a time limit. */
   whenAnswered(): Promise<Answer> {
     const { answer } = this;
     if (answer) return Promise.resolve(answer);
@@ -173,23 +176,23 @@
   }
 
   private finish(answer: Answer): void {
-    this.final = { outcome: answer.outcome, bytes: toBinary(AnswerSchema, answer) };
+    this.serializedAnswer = { outcome: answer.outcome, bytes: toBinary(AnswerSchema, answer) };
     this.results = [];
     const waiters = [...this.waiters];
-    // Kept, they would keep the unpacked answer.
+    // Clearing them releases the deserialized answer, which their promises would otherwise keep in memory.
     this.waiters.clear();
-    waiters.forEach((settle) => settle(answer));
+    waiters.forEach((resolve) => resolve(answer));
   }
 }
 
-/** An answer as protobuf bytes, with the outcome beside it. */
-interface PackedAnswer {
+/** A serialized answer, with its outcome for quick access. */
+interface SerializedAnswer {
   readonly outcome: Outcome;
   readonly bytes: Uint8Array;
 }
 
-/** Memory of a record without its answer and its tasks, as `npm run measure:capacity` shows it. */
+/** Memory of a record without answer and tasks, as reported by `npm run measure:capacity`. */
 const RECORD_BYTES = 800;
 
-/** Memory that a record keeps for each task beside the answer: its place and its status. */
+/** Memory of a record for each task besides the answer: its sidecar and its status. */
 const TASK_BYTES = 9;
--- a/src/entry/JobTable.ts
+++ b/src/entry/JobTable.ts
@@ -20,15 +20,15 @@
 import type RecoveredState from '../recovery/RecoveredState';
 
 /**
- * The jobs that this entry owns: one record for each, from its acceptance
- * until no resubmission of its id can be accepted any more.
+ * The jobs that this entry owns. Each has one record, from its acceptance until no
+ * resubmission of its id can be accepted any more.
  */
 export default class JobTable {
   private readonly records = new Map<string, Job>();
 
-  private readonly tasks = new Map<Job, ReadonlySet<QueuedTask>>();
+  private readonly openTasks = new Map<Job, ReadonlySet<QueuedTask>>();
 
-  private readonly resolving = new Map<string, Promise<RecoveredState>>();
+  private readonly recoveries = new Map<string, Promise<RecoveredState>>();
 
   private keptBytes = 0;
 
@@ -37,19 +37,19 @@
     private readonly dispatcher: Dispatcher,
   ) {}
 
-  /** Creates an empty table whose accepted tasks go to the dispatcher. */
+  /** Creates an empty table that queues the tasks of accepted jobs in the dispatcher. */
   static create(options: JobTableOptions, dispatcher: Dispatcher): JobTable {
     return new JobTable(options, dispatcher);
   }
 
-  /** Number of records kept. */
+  /** Number of records, open jobs and answered ones. */
   get size(): number {
     return this.records.size;
   }
 
   /** Number of jobs without an answer. */
   get openCount(): number {
-    return this.tasks.size;
+    return this.openTasks.size;
   }
 
   /** The record of a job, if there is one. */
@@ -57,70 +57,70 @@
     return this.records.get(key);
   }
 
-  /** Whether this entry holds or is about to hold a record of the job. */
+  /** Whether this entry holds a record of the job. */
   holds(key: string): boolean {
     return this.records.has(key);
   }
 
-  /** Acts on a submission as the owner of its job. */
+  /** Processes a submission as the owner of its job. */
   handle(submission: Submission): Promise<OwnerReply> {
     return actions[submission.action](this, submission);
   }
 
-  /** Accepts a submission, joins the job it repeats, or says why not. */
+  /** Accepts a submission, joins the job that it repeats, or returns a refusal. */
   async submit(submission: Submission): Promise<OwnerReply> {
     const key = keyOf(submission);
     const known = this.records.get(key);
-    if (known) return this.joinAgain(known, submission);
-    if (!this.options.ownsNew(key)) return NOT_OWNER;
-    const untimely = this.checkAge(submission);
-    if (untimely) return answerOf(untimely);
-    const provenance = await this.resolve(key, Number(submission.createdMs));
-    const meanwhile = this.records.get(key);
-    if (meanwhile) return this.joinAgain(meanwhile, submission);
-    if (!this.options.ownsNew(key)) return NOT_OWNER;
-    return this.acceptFrom(provenance, key, submission);
+    if (known) return this.joinDuplicate(known, submission);
+    if (!this.options.ownsKey(key)) return NOT_OWNER;
+    const refused = this.refusalByAge(submission);
+    if (refused) return answerReply(refused);
+    const recovered = await this.recover(key, Number(submission.createdMs));
+    const acceptedMeanwhile = this.records.get(key);
+    if (acceptedMeanwhile) return this.joinDuplicate(acceptedMeanwhile, submission);
+    if (!this.options.ownsKey(key)) return NOT_OWNER;
+    return this.acceptRecovered(recovered, key, submission);
   }
 
-  /** Reports on a job without starting anything. */
+  /** Returns the state of a job without starting anything. */
   async lookup(submission: Submission): Promise<OwnerReply> {
     const key = keyOf(submission);
     const known = this.records.get(key);
-    if (known) return answerOf(await known.waitForAnswer(submission.waitMs, this.options.timer));
-    const holder = await this.holderOf(key, submission);
+    if (known) return answerReply(await known.waitForAnswer(submission.waitMs, this.options.timer));
+    const holder = await this.findHolder(key, submission);
     if (holder) return holder;
-    return answerOf(
+    return answerReply(
       refusal(Outcome.ABSENT, 'no such job is known here; submit it to run or continue it'),
     );
   }
 
-  /** Cancels a job: what waits leaves the queue, what runs is stopped if it can be. */
+  /** Cancels a job: queued tasks leave the queue, running ones are stopped if possible. */
   async cancel(submission: Submission): Promise<OwnerReply> {
     const key = keyOf(submission);
     const known = this.records.get(key);
     if (known) {
       this.endEarly(known, Outcome.CANCELLED, 'cancelled by the caller');
-      return answerOf(known.progress());
+      return answerReply(known.progress());
     }
-    const holder = await this.holderOf(key, submission);
-    return holder ?? answerOf(refusal(Outcome.ABSENT, 'no such job is known here'));
+    const holder = await this.findHolder(key, submission);
+    return holder ?? answerReply(refusal(Outcome.ABSENT, 'no such job is known here'));
   }
 
   /**
-   * Runs a request that nobody can ask for again, and keeps no record of it.
-   * It leaves the queue unrun when its caller goes before it was started.
+   * Runs a request that can't be resubmitted, and keeps no record of it afterwards.
+   * If its caller disconnects before it was started, it is removed from the queue.
    */
-  async runOnce(submission: Submission, gone: AbortSignal): Promise<Answer> {
+  async runOnce(submission: Submission, callerGone: AbortSignal): Promise<Answer> {
     const key = keyOf(submission);
-    const refused = this.refuseUnready(submission);
+    const refused = this.refusalFor(submission);
     if (refused) return refused;
     const job = this.accept(key, submission, []);
     const leaveQueue = () => {
       if (!job.hasStartedTasks) this.endEarly(job, Outcome.NOT_RUN, 'the caller has gone');
     };
-    gone.addEventListener('abort', leaveQueue, { once: true });
+    callerGone.addEventListener('abort', leaveQueue, { once: true });
     const answer = await job.whenAnswered();
-    gone.removeEventListener('abort', leaveQueue);
+    callerGone.removeEventListener('abort', leaveQueue);
     this.drop(job);
     return answer;
   }
@@ -129,13 +129,13 @@
   dropExpired(): void {
     const now = this.options.timer.wall();
     this.records.forEach((job) => {
-      const limit =
-        job.createdMs + this.options.retentionOf(job.service) + this.options.clockSkewMs;
-      if (job.isAnswered && limit < now) this.drop(job);
+      const expiresAt =
+        job.createdMs + this.options.retentionMsOf(job.service) + this.options.clockSkewMs;
+      if (job.isAnswered && expiresAt < now) this.drop(job);
     });
   }
 
-  /** Takes records that a leaving entry hands over. */
+  /** Adds records that a leaving entry hands over. */
   importRecords(records: readonly JobRecord[]): void {
     records.forEach((record) => {
       if (!record.answer || this.records.has(record.job)) return;
@@ -145,7 +145,7 @@
     });
   }
 
-  /** The answered records, for handing over. */
+  /** The records of answered jobs, for a handover. */
   answeredRecords(): JobRecord[] {
     return [...this.records.values()]
       .map(({ record }) => record)
@@ -159,65 +159,72 @@
       .map((job) => job.key);
   }
 
-  /** Ends every open job, for an owner that was removed and may start nothing more. */
+  /**
+   * Ends every open job, for an entry that was removed from the view and may not
+   * start anything more.
+   */
   abortOpenJobs(): void {
-    [...this.tasks.keys()].forEach((job) => {
+    [...this.openTasks.keys()].forEach((job) => {
       job.ownershipLost = true;
       this.endEarly(job, Outcome.UNKNOWN, 'this entry lost its ownership; resubmit to continue');
       this.drop(job);
     });
   }
 
-  private joinAgain(job: Job, submission: Submission): Promise<OwnerReply> {
+  private joinDuplicate(job: Job, submission: Submission): Promise<OwnerReply> {
     this.options.metrics?.wasted('duplicate_submission');
     return this.join(job, submission);
   }
 
   private async join(job: Job, submission: Submission): Promise<OwnerReply> {
     if (job.digest !== submission.digest) {
-      return answerOf(refusal(Outcome.CONFLICT, 'this id was submitted before with another body'));
+      return answerReply(
+        refusal(Outcome.CONFLICT, 'this id was submitted before with another body'),
+      );
     }
     const answer = await job.waitForAnswer(submission.waitMs, this.options.timer);
     return job.ownershipLost
       ? { kind: 'notOwner', mayHaveRun: job.hasStartedTasks }
-      : answerOf(answer);
+      : answerReply(answer);
   }
 
-  private async holderOf(key: string, submission: Submission): Promise<OwnerReply | undefined> {
-    if (!this.options.ownsNew(key)) return NOT_OWNER;
-    const created = Number(submission.createdMs) || this.options.timer.wall();
-    const provenance = await this.resolve(key, created);
-    if (provenance.kind === 'held') return { kind: 'heldBy', incarnation: provenance.incarnation };
-    if (provenance.kind === 'unavailable') return NOT_OWNER;
+  private async findHolder(key: string, submission: Submission): Promise<OwnerReply | undefined> {
+    if (!this.options.ownsKey(key)) return NOT_OWNER;
+    const createdMs = Number(submission.createdMs) || this.options.timer.wall();
+    const recovered = await this.recover(key, createdMs);
+    if (recovered.kind === 'held') return { kind: 'heldBy', incarnation: recovered.incarnation };
+    if (recovered.kind === 'unavailable') return NOT_OWNER;
     return undefined;
   }
 
-  private resolve(key: string, createdMs: number): Promise<RecoveredState> {
-    const running = this.resolving.get(key);
-    if (running) return running;
-    const started = this.options.resolve(key, createdMs);
-    this.resolving.set(key, started);
-    started.then(({ kind }) => this.options.metrics?.jobResolved(kind));
-    started.finally(() => this.resolving.delete(key));
-    return started;
+  private recover(key: string, createdMs: number): Promise<RecoveredState> {
+    const pending = this.recoveries.get(key);
+    if (pending) return pending;
+    const recovery = this.options.recover(key, createdMs);
+    this.recoveries.set(key, recovery);
+    recovery.then(({ kind }) => this.options.metrics?.jobResolved(kind));
+    recovery.finally(() => this.recoveries.delete(key));
+    return recovery;
   }
 
-  private async acceptFrom(
-    provenance: RecoveredState,
+  private async acceptRecovered(
+    recovered: RecoveredState,
     key: string,
     submission: Submission,
   ): Promise<OwnerReply> {
-    if (provenance.kind === 'held') return { kind: 'heldBy', incarnation: provenance.incarnation };
-    if (provenance.kind === 'unavailable') return NOT_OWNER;
-    const refused = this.refuseUnready(submission, provenance.kind !== 'fresh');
-    if (refused && provenance.kind === 'fresh') return answerOf(refused);
+    if (recovered.kind === 'held') return { kind: 'heldBy', incarnation: recovered.incarnation };
+    if (recovered.kind === 'unavailable') return NOT_OWNER;
+    const refused = this.refusalFor(submission, recovered.kind !== 'fresh');
+    if (refused && recovered.kind === 'fresh') return answerReply(refused);
     if (refused) {
-      return answerOf(refusal(Outcome.UNKNOWN, refused.reason, refused.retryAfterMs));
+      return answerReply(refusal(Outcome.UNKNOWN, refused.reason, refused.retryAfterMs));
     }
-    if (provenance.kind === 'fresh') return this.join(this.accept(key, submission, []), submission);
-    const { digest, tasks, doubt } = provenance;
+    if (recovered.kind === 'fresh') return this.join(this.accept(key, submission, []), submission);
+    const { digest, tasks, doubt } = recovered;
     if (digest !== undefined && digest !== submission.digest) {
-      return answerOf(refusal(Outcome.CONFLICT, 'this id was submitted before with another body'));
+      return answerReply(
+        refusal(Outcome.CONFLICT, 'this id was submitted before with another body'),
+      );
     }
     return this.join(this.accept(key, submission, tasks, doubt), submission);
   }
@@ -225,35 +232,35 @@
   private accept(
     key: string,
     submission: Submission,
-    evidence: readonly LocatedTask[],
+    reports: readonly LocatedTask[],
     doubt = false,
   ): Job {
     const job = Job.fromSubmission(key, submission, this.options.timer.now());
     this.records.set(key, job);
     const tasks = submission.inputs.map((input, index) =>
-      this.taskOf(job, submission, input, index),
+      this.createTask(job, submission, input, index),
     );
-    this.tasks.set(job, new Set(tasks));
+    this.openTasks.set(job, new Set(tasks));
     this.keptBytes += job.inputBytes;
-    const seen = bestEvidence(evidence);
+    const best = bestReports(reports);
     tasks.forEach((task) => {
-      if (!job.isAnswered) this.begin(job, task, seen.get(task.index), doubt);
+      if (!job.isAnswered) this.resumeOrEnqueue(job, task, best.get(task.index), doubt);
     });
-    this.limitTime(job, submission);
+    this.armDeadline(job, submission);
     return job;
   }
 
-  private begin(
+  private resumeOrEnqueue(
     job: Job,
     task: QueuedTask,
-    evidence: LocatedTask | undefined,
+    report: LocatedTask | undefined,
     doubt: boolean,
   ): void {
-    if (evidence) {
-      job.recordStart(task.index, evidence.sidecar);
-      const { running, index, status, output, runMs, reason } = evidence.held;
-      task.attempt = evidence.held.attempt;
-      if (running) this.dispatcher.trackAdopted(task, evidence.sidecar);
+    if (report) {
+      job.recordStart(task.index, report.sidecar);
+      const { running, index, status, output, runMs, reason } = report.held;
+      task.attempt = report.held.attempt;
+      if (running) this.dispatcher.trackAdopted(task, report.sidecar);
       else task.onSettled(create(TaskResultSchema, { index, status, output, runMs, reason }));
       return;
     }
@@ -267,7 +274,12 @@
     this.dispatcher.enqueue(task);
   }
 
-  private taskOf(job: Job, submission: Submission, input: Uint8Array, index: number): QueuedTask {
+  private createTask(
+    job: Job,
+    submission: Submission,
+    input: Uint8Array,
+    index: number,
+  ): QueuedTask {
     const queuedAt = this.options.timer.now();
     const task: QueuedTask = {
       job: job.key,
@@ -278,7 +290,7 @@
       digest: submission.digest,
       jobSize: job.size,
       createdMs: submission.createdMs,
-      timeoutMs: this.options.taskTimeoutOf(submission.service),
+      timeoutMs: this.options.taskTimeoutMsOf(submission.service),
       traceparent: submission.traceparent,
       retryable: submission.kind === REQUEST_KIND && submission.idempotent,
       queuedAt,
@@ -289,44 +301,47 @@
         if (task.attempt === 0) job.clearStart(index);
       },
       onSettled: (result) => {
-        this.countResult(job, result, queuedAt);
+        this.recordTaskMetrics(job, result, queuedAt);
         job.recordResult(result);
-        if (job.isAnswered) this.finished(job);
+        if (job.isAnswered) this.handleFinished(job);
       },
     };
     return task;
   }
 
-  private countResult(job: Job, { status, runMs }: TaskResult, queuedAt: number): void {
+  private recordTaskMetrics(job: Job, { status, runMs }: TaskResult, queuedAt: number): void {
     const { metrics, timer } = this.options;
     if (job.isAnswered) metrics?.wasted('result_untaken');
     else metrics?.taskSettled(job.service, status, timer.now() - queuedAt, runMs);
   }
 
-  private limitTime(job: Job, submission: Submission): void {
+  private armDeadline(job: Job, submission: Submission): void {
     if (job.isAnswered) return;
-    const limit = this.options.jobTimeoutOf(submission.service);
-    const wanted = submission.deadlineMs || limit;
-    const timeout = this.options.timer.after(Math.min(wanted, limit), () => {
-      const { hasStartedTasks: anyStarted } = job;
-      const outcome = anyStarted ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+    const limitMs = this.options.jobTimeoutMsOf(submission.service);
+    const requestedMs = submission.deadlineMs || limitMs;
+    const timeout = this.options.timer.after(Math.min(requestedMs, limitMs), () => {
+      const { hasStartedTasks } = job;
+      const outcome = hasStartedTasks ? Outcome.UNKNOWN : Outcome.NOT_RUN;
       this.endEarly(job, outcome, 'the deadline has passed');
     });
     job.whenAnswered().then(() => timeout.cancel());
   }
 
   private endEarly(job: Job, outcome: Outcome, reason: string): void {
-    const tasks = this.tasks.get(job);
-    job.end(outcome, reason, outcome === Outcome.NOT_RUN ? RESOLVE_AGAIN_MS : 0);
+    const tasks = this.openTasks.get(job);
+    job.end(outcome, reason, outcome === Outcome.NOT_RUN ? RESUBMIT_AFTER_MS : 0);
     if (tasks) this.dispatcher.cancel(tasks);
-    this.finished(job);
+    this.handleFinished(job);
   }
 
-  /** Cleans up after a job's answer; a job that was not run may be submitted anew. */
-  private finished(job: Job): void {
-    const tasks = this.tasks.get(job);
+  /**
+   * Cleans up after a job's answer. The record of a job that was not run is
+   * dropped, so that the job can be resubmitted.
+   */
+  private handleFinished(job: Job): void {
+    const tasks = this.openTasks.get(job);
     if (!tasks) return;
-    this.tasks.delete(job);
+    this.openTasks.delete(job);
     this.options.metrics?.jobFinished(job.service, this.options.timer.now() - job.acceptedAt);
     if (job.outcome !== Outcome.COMPLETED) this.dispatcher.dequeue(tasks);
     this.keptBytes += job.bytes - job.inputBytes;
@@ -339,13 +354,13 @@
     this.keptBytes -= job.bytes;
   }
 
-  private checkAge(submission: Submission): Answer | undefined {
+  private refusalByAge(submission: Submission): Answer | undefined {
     const now = this.options.timer.wall();
-    const created = Number(submission.createdMs);
-    if (created > now + this.options.clockSkewMs) {
+    const createdMs = Number(submission.createdMs);
+    if (createdMs > now + this.options.clockSkewMs) {
       return refusal(Outcome.INVALID, 'the time of creation lies in the future');
     }
-    if (created + this.options.retentionOf(submission.service) < now) {
+    if (createdMs + this.options.retentionMsOf(submission.service) < now) {
       return refusal(
         Outcome.EXPIRED,
         'this id is older than the retention: it is not run now, and may have run before',
@@ -354,8 +369,8 @@
     return undefined;
   }
 
-  private refuseUnready(submission: Submission, isContinued = false): Answer | undefined {
-    return this.options.refuse(submission, this.keptBytes, isContinued);
+  private refusalFor(submission: Submission, isContinued = false): Answer | undefined {
+    return this.options.refusalFor(submission, this.keptBytes, isContinued);
   }
 }
 
@@ -364,27 +379,30 @@
 /** The kind of a single request, as opposed to a job. */
 const REQUEST_KIND = 'request';
 
-/** When to come back after a refusal that a view change or a recovery will end. */
-const RESOLVE_AGAIN_MS = 1000;
+/** Retry delay after a refusal that a view change or a recovery will resolve. */
+const RESUBMIT_AFTER_MS = 1000;
 
 const actions: Record<Action, (jobs: JobTable, submission: Submission) => Promise<OwnerReply>> = {
-  [Action.UNSPECIFIED]: async () => answerOf(refusal(Outcome.INVALID, 'no action was given')),
+  [Action.UNSPECIFIED]: async () => answerReply(refusal(Outcome.INVALID, 'no action was given')),
   [Action.SUBMIT]: (jobs, submission) => jobs.submit(submission),
   [Action.LOOKUP]: (jobs, submission) => jobs.lookup(submission),
   [Action.CANCEL]: (jobs, submission) => jobs.cancel(submission),
 };
 
-/** For each task the evidence that tells most: a finished attempt before a running one, both before a lost one. */
-function bestEvidence(evidence: readonly LocatedTask[]): Map<number, LocatedTask> {
+/**
+ * The most conclusive report of each task: a finished attempt before a running one,
+ * both before a lost one.
+ */
+function bestReports(reports: readonly LocatedTask[]): Map<number, LocatedTask> {
   const best = new Map<number, LocatedTask>();
-  evidence.forEach((located) => {
+  reports.forEach((located) => {
     const known = best.get(located.held.index);
-    if (!known || worthOf(located) > worthOf(known)) best.set(located.held.index, located);
+    if (!known || rankOf(located) > rankOf(known)) best.set(located.held.index, located);
   });
   return best;
 }
 
-function worthOf({ held }: LocatedTask): number {
+function rankOf({ held }: LocatedTask): number {
   if (held.running) return 1;
   return held.status === TaskStatus.COMPLETED || held.status === TaskStatus.FAILED ? 2 : 0;
 }
@@ -393,7 +411,7 @@
   return jobKey(service, kind, id);
 }
 
-function answerOf(answer: Answer): OwnerReply {
+function answerReply(answer: Answer): OwnerReply {
   return { kind: 'answer', answer };
 }
 
--- a/src/entry/JobTableOptions.ts
+++ b/src/entry/JobTableOptions.ts
@@ -3,26 +3,27 @@
 import type EntryMetrics from '../observe/EntryMetrics';
 import type RecoveredState from '../recovery/RecoveredState';
 
-/** What the job table needs from the entry around it. */
+/** Dependencies of the job table. */
 export default interface JobTableOptions {
   readonly timer: TimerService;
   readonly metrics?: EntryMetrics;
-  /** How far callers' clocks may be off. */
+  /** Maximum deviation of callers' clocks, in milliseconds. */
   readonly clockSkewMs: number;
-  /** Whether this entry owns new jobs with the key in its newest view. */
-  readonly ownsNew: (key: string) => boolean;
-  /** Finds out what is known of a job that has no record here. */
-  readonly resolve: (key: string, createdMs: number) => Promise<RecoveredState>;
+  /** Whether this entry owns new jobs with the key, in its newest view. */
+  readonly ownsKey: (key: string) => boolean;
+  /** Recovers what other processes know of a job that has no record here. */
+  readonly recover: (key: string, createdMs: number) => Promise<RecoveredState>;
   /**
-   * The answer to a submission that can't be accepted now or ever, given the
-   * bytes already kept and whether it continues a job.
+   * The answer to a submission that can't be accepted, now or ever; undefined for
+   * one that can. `keptBytes` is the memory that records use already; `isContinued`
+   * tells whether the submission continues a job.
    */
-  readonly refuse: (
+  readonly refusalFor: (
     submission: Submission,
     keptBytes: number,
     isContinued: boolean,
   ) => Answer | undefined;
-  readonly retentionOf: (service: string) => number;
-  readonly taskTimeoutOf: (service: string) => number;
-  readonly jobTimeoutOf: (service: string) => number;
+  readonly retentionMsOf: (service: string) => number;
+  readonly taskTimeoutMsOf: (service: string) => number;
+  readonly jobTimeoutMsOf: (service: string) => number;
 }
--- a/src/entry/OwnerReply.ts
+++ b/src/entry/OwnerReply.ts
@@ -1,9 +1,8 @@
 import type { Answer } from '../gen/magnoliakeel/v1/peer_pb';
 
 /**
- * What an entry says to a submission that it was taken for the owner of: the
- * answer, that it is not the owner or can't act as one yet, or that another
- * entry holds the record.
+ * Reply of an entry that is presumed to own a submission's job: the answer, that it
+ * is not the owner or can't act as one yet, or that another entry holds the record.
  */
 type OwnerReply =
   | { readonly kind: 'answer'; readonly answer: Answer }
--- a/src/entry/OwnerWait.ts
+++ b/src/entry/OwnerWait.ts
@@ -1,7 +1,7 @@
 /** A wait for an owner's answer. */
 export default interface OwnerWait {
-  /** Aborts when waiting on makes no sense. */
+  /** Aborts when an answer can't be expected any more. */
   readonly signal: AbortSignal;
-  /** Releases the wait once the answer is there. */
-  readonly end: () => void;
+  /** Removes the wait's listeners; to be called once the answer has arrived. */
+  readonly release: () => void;
 }
--- a/src/entry/OwnerWatch.ts
+++ b/src/entry/OwnerWatch.ts
@@ -4,54 +4,54 @@
 import type { View } from '../gen/magnoliakeel/v1/peer_pb';
 import type OwnerWait from './OwnerWait';
 
-/** What the waits for owners look at. */
+/** Dependencies of an owner watch. */
 interface OwnerWatchOptions {
   readonly timer: TimerService;
   readonly views: Versioned<View>;
   readonly isSuspected: (incarnation: string) => boolean;
 }
 
-/** Ends waits for an owner that seems down or is no member any more. */
+/** Ends waits for an owner that is suspected or no longer a member. */
 export default class OwnerWatch {
   private readonly checks = new Set<() => void>();
 
   private constructor(private readonly options: OwnerWatchOptions) {}
 
-  /** Creates a watch without waits. */
+  /** Creates a watch without pending waits. */
   static create(options: OwnerWatchOptions): OwnerWatch {
     return new OwnerWatch(options);
   }
 
-  /** Looks at all waits again; meant for a change of the view or of a suspicion. */
+  /** Checks all pending waits; to be called when the view or a suspicion has changed. */
   recheck(): void {
     [...this.checks].forEach((check) => check());
   }
 
-  /** Resolves at a newer view or after the delay. */
+  /** Resolves when a newer view arrives or after the delay. */
   async nextViewOrDelay(delayMs: number): Promise<void> {
-    const over = new AbortController();
-    const unsubscribe = this.options.views.subscribe(() => over.abort());
-    await this.options.timer.sleep(delayMs, over.signal);
+    const viewChanged = new AbortController();
+    const unsubscribe = this.options.views.subscribe(() => viewChanged.abort());
+    await this.options.timer.sleep(delayMs, viewChanged.signal);
     unsubscribe();
   }
 
-  /** Starts a wait for an owner that ends early when the caller goes, too. */
-  watchOwner(incarnation: string, gone: AbortSignal): OwnerWait {
-    const control = new AbortController();
+  /** Starts a wait for an owner. Its signal also aborts when the caller disconnects. */
+  watchOwner(incarnation: string, callerGone: AbortSignal): OwnerWait {
+    const controller = new AbortController();
     const check = () => {
       if (
         !isMember(this.options.views.current, incarnation) ||
         this.options.isSuspected(incarnation)
       )
-        control.abort();
+        controller.abort();
     };
-    const abort = () => control.abort();
+    const abort = () => controller.abort();
     this.checks.add(check);
-    gone.addEventListener('abort', abort, { once: true });
-    const end = () => {
+    callerGone.addEventListener('abort', abort, { once: true });
+    const release = () => {
       this.checks.delete(check);
-      gone.removeEventListener('abort', abort);
+      callerGone.removeEventListener('abort', abort);
     };
-    return { signal: control.signal, end };
+    return { signal: controller.signal, release };
   }
 }
--- a/src/entry/PeerFacingEntry.ts
+++ b/src/entry/PeerFacingEntry.ts
@@ -7,7 +7,7 @@
 import type SidecarLinks from './SidecarLinks';
 import type RosterBroadcaster from './RosterBroadcaster';
 
-/** What other processes reach of an entry. */
+/** The parts of an entry that calls and links of other processes use. */
 export default interface PeerFacingEntry {
   readonly incarnation: string;
   readonly views: Versioned<View>;
--- a/src/entry/RetryBudget.ts
+++ b/src/entry/RetryBudget.ts
@@ -1,33 +1,38 @@
 /**
- * Limits retries to a share of the requests, so that retries can't multiply an
- * outage: each request earns a part of a retry, up to a small reserve.
+ * Limits retries to a share of the requests, so that retries can't amplify an
+ * outage. Each request deposits a fraction of a retry, up to a small maximum
+ * balance.
  */
 export default class RetryBudget {
-  private readonly earned = new Map<string, number>();
+  private readonly balances = new Map<string, number>();
 
-  private constructor(private readonly shareOf: (service: string) => number) {}
+  private constructor(private readonly ratioOf: (service: string) => number) {}
 
-  /** Creates a budget; `shareOf` gives how many retries one request of a service earns. */
-  static create(shareOf: (service: string) => number): RetryBudget {
-    return new RetryBudget(shareOf);
+  /** Creates a budget; `ratioOf` returns how many retries one request of a service deposits. */
+  static create(ratioOf: (service: string) => number): RetryBudget {
+    return new RetryBudget(ratioOf);
   }
 
-  /** Notes one request of a service. */
+  /** Deposits the share of one request of a service. */
   deposit(service: string): void {
-    this.earned.set(service, Math.min(RESERVE, this.left(service) + this.shareOf(service)));
+    this.balances.set(
+      service,
+      Math.min(MAX_BALANCE, this.balanceOf(service) + this.ratioOf(service)),
+    );
   }
 
-  /** Takes one retry, if one is left. */
+  /** Withdraws one retry, if the balance allows it. */
   tryWithdraw(service: string): boolean {
-    const left = this.left(service);
-    if (left < 1) return false;
-    this.earned.set(service, left - 1);
+    const balance = this.balanceOf(service);
+    if (balance < 1) return false;
+    this.balances.set(service, balance - 1);
     return true;
   }
 
-  private left(service: string): number {
-    return this.earned.get(service) ?? RESERVE;
+  private balanceOf(service: string): number {
+    return this.balances.get(service) ?? MAX_BALANCE;
   }
 }
 
-const RESERVE = 10;
+/** Maximum balance of a service, in retries; also its balance before the first request. */
+const MAX_BALANCE = 10;
--- a/src/entry/RosterBroadcaster.ts
+++ b/src/entry/RosterBroadcaster.ts
@@ -11,48 +11,57 @@
 import type RosterBroadcasterOptions from './RosterBroadcasterOptions';
 
 /**
- * Tells the other entries which sidecars this one sees come and go, and that
- * it has settled the loss of a sidecar, so that its successor can rely on it.
+ * Reports to the other entries which sidecars have linked to this entry or ended,
+ * and that it has settled the loss of a sidecar, so that its successor can rely on
+ * it.
  */
 export default class RosterBroadcaster {
   private constructor(private readonly options: RosterBroadcasterOptions) {}
 
-  /** Creates the sightings of an entry. */
+  /** Creates the broadcaster of an entry. */
   static create(options: RosterBroadcasterOptions): RosterBroadcaster {
     return new RosterBroadcaster(options);
   }
 
-  /** Notes that a sidecar has linked. */
+  /** Reports that a sidecar has linked; an earlier settlement of its loss is revoked. */
   sidecarLinked(peer: SidecarPeer): void {
-    this.sight(peer, false);
+    this.broadcastSighting(peer, false);
     const { recovery, self } = this.options;
-    if (recovery.settlements.has(peer.incarnation, self)) this.settle(peer.incarnation, [], true);
+    if (recovery.settlements.has(peer.incarnation, self))
+      this.broadcastSettlement(peer.incarnation, [], true);
   }
 
-  /** Notes that a sidecar has ended, once all its tasks here are settled. */
+  /** Reports that a sidecar has ended, once all its tasks here are settled. */
   sidecarEnded(peer: SidecarPeer): void {
-    this.settle(peer.incarnation, this.options.jobKeysOnSidecar(peer.incarnation), false);
-    this.sight(peer, true);
+    this.broadcastSettlement(
+      peer.incarnation,
+      this.options.jobKeysOnSidecar(peer.incarnation),
+      false,
+    );
+    this.broadcastSighting(peer, true);
   }
 
-  /** Takes note of records from a leaving entry: sidecars settled before may have had tasks of these jobs. */
+  /**
+   * Updates settlements after records were imported from a leaving entry: sidecars
+   * whose loss was settled before may have had tasks of these jobs.
+   */
   recordsImported(records: readonly JobRecord[]): void {
-    const { recovery, self, jobKeysOnSidecar: keysOn } = this.options;
+    const { recovery, self, jobKeysOnSidecar } = this.options;
     [...new Set(records.flatMap(({ sidecars }) => sidecars))]
       .filter((sidecar) => recovery.settlements.has(sidecar, self))
-      .forEach((sidecar) => this.settle(sidecar, keysOn(sidecar), false));
+      .forEach((sidecar) => this.broadcastSettlement(sidecar, jobKeysOnSidecar(sidecar), false));
   }
 
-  /** Contradicts items that call a sidecar ended which is linked here. */
-  refuteEnded(news: readonly RosterItem[]): void {
+  /** Refutes reports that a sidecar has ended if it is linked here. */
+  refuteEnded(items: readonly RosterItem[]): void {
     const { linkedPeer } = this.options;
-    news
+    items
       .filter((item) => item.ended)
       .map((item) => linkedPeer(item.incarnation))
-      .forEach((peer) => peer && this.sight(peer, false));
+      .forEach((peer) => peer && this.broadcastSighting(peer, false));
   }
 
-  /** What a newly linked entry has to know. */
+  /** The settlements and the roster, for a newly linked entry. */
   snapshotMessages(): PeerMessage[] {
     const { recovery } = this.options;
     const roster = create(RosterSchema, { items: recovery.roster.all() });
@@ -62,7 +71,10 @@
     return [...settlements, { case: 'roster', value: roster }];
   }
 
-  private sight({ incarnation, instance, services }: SidecarPeer, ended: boolean): void {
+  private broadcastSighting(
+    { incarnation, instance, services }: SidecarPeer,
+    ended: boolean,
+  ): void {
     const { recovery, timer, broadcast } = this.options;
     const sighting = { incarnation, instance, services: [...services], ended };
     const item = recovery.roster.recordSighting(sighting, timer.wall());
@@ -70,11 +82,11 @@
     broadcast({ case: 'roster', value: create(RosterSchema, { items: [item] }) });
   }
 
-  private settle(sidecar: string, jobs: string[], revoked: boolean): void {
+  private broadcastSettlement(sidecar: string, jobs: string[], revoked: boolean): void {
     const { recovery, timer, self, broadcast } = this.options;
-    const known = recovery.settlements.atMs(sidecar, self) ?? 0n;
-    const wall = BigInt(timer.wall());
-    const atMs = wall > known ? wall : known + 1n;
+    const lastMs = recovery.settlements.atMs(sidecar, self) ?? 0n;
+    const wallMs = BigInt(timer.wall());
+    const atMs = wallMs > lastMs ? wallMs : lastMs + 1n;
     const value: Settlement = create(SettlementSchema, {
       sidecar,
       owner: self,
--- a/src/entry/Router.ts
+++ b/src/entry/Router.ts
@@ -17,9 +17,9 @@
 import traceForward from './traceForward';
 
 /**
- * Brings a submission to the owner of its job and the answer back. It keeps
- * the submission until the answer is there, so that a lost owner's successor
- * gets it from here and the caller need not ask again.
+ * Forwards a submission to the owner of its job and returns the answer. It keeps
+ * the submission until it is answered, so that it can be sent to a lost owner's
+ * successor without the caller having to resubmit it.
  */
 export default class Router {
   private constructor(
@@ -27,85 +27,91 @@
     private readonly jobs: JobTable,
   ) {}
 
-  /** Creates the router of an entry with the jobs that it owns itself. */
+  /** Creates the router of an entry; `jobs` holds the jobs that the entry owns itself. */
   static create(options: RouterOptions, jobs: JobTable): Router {
     return new Router(options, jobs);
   }
 
-  /** The answer to a caller's submission, from whichever entry owns its job. */
-  async submit(submission: Submission, gone: AbortSignal): Promise<Answer> {
+  /** Answers a caller's submission through the entry that owns its job. */
+  async submit(submission: Submission, callerGone: AbortSignal): Promise<Answer> {
     const { timer } = this.options;
-    const begun = timer.now();
-    const patience = Math.max(submission.waitMs, this.options.ownerWaitMs);
-    let sent = false;
-    while (!gone.aborted) {
-      const waitMs = Math.max(0, submission.waitMs - (timer.now() - begun));
-      const attempt = await this.tryOwner({ ...submission, waitMs: Math.ceil(waitMs) }, gone);
-      if (attempt.answer) return sent ? withoutProof(attempt.answer) : attempt.answer;
-      sent ||= attempt.sent;
-      if (timer.now() - begun >= patience) break;
-      await this.options.nextViewOrDelay(RETRY_MS);
+    const startedAt = timer.now();
+    const maxWaitMs = Math.max(submission.waitMs, this.options.ownerWaitMs);
+    let mayHaveReached = false;
+    while (!callerGone.aborted) {
+      const waitMs = Math.max(0, submission.waitMs - (timer.now() - startedAt));
+      const attempt = await this.tryOwner({ ...submission, waitMs: Math.ceil(waitMs) }, callerGone);
+      if (attempt.answer)
+        return mayHaveReached ? withoutNotRunGuarantee(attempt.answer) : attempt.answer;
+      mayHaveReached ||= attempt.mayHaveReached;
+      if (timer.now() - startedAt >= maxWaitMs) break;
+      await this.options.nextViewOrDelay(VIEW_WAIT_MS);
     }
-    return giveUp();
+    return ownerUnreachable();
   }
 
   /**
-   * Acts on a submission that another entry forwarded, under no older
-   * configuration than that entry's: a service that it knows is known here.
+   * Processes a submission that another entry forwarded, under a configuration no
+   * older than that entry's, so that every service it knows is known here.
    */
   async handleForwarded(
     submission: Submission,
     version: bigint,
-    gone: AbortSignal,
+    callerGone: AbortSignal,
   ): Promise<ForwardResponse> {
-    if (!(await this.hasVersion(version))) {
-      return this.answeredWith(behind());
+    if (!(await this.waitForVersion(version))) {
+      return this.answerResponse(configurationOutdated());
     }
     const reply = await this.jobs.handle(submission);
-    if (reply.kind === 'notOwner') return this.notOwner(reply.mayHaveRun);
-    if (reply.kind === 'answer') return this.answeredWith(reply.answer);
-    const { answer, sent } = await this.passOn(submission, this.memberOf(reply.incarnation), gone);
-    return answer ? this.answeredWith(answer) : this.notOwner(sent);
+    if (reply.kind === 'notOwner') return this.notOwnerResponse(reply.mayHaveRun);
+    if (reply.kind === 'answer') return this.answerResponse(reply.answer);
+    const { answer, mayHaveReached } = await this.forwardTo(
+      submission,
+      this.memberOf(reply.incarnation),
+      callerGone,
+    );
+    return answer ? this.answerResponse(answer) : this.notOwnerResponse(mayHaveReached);
   }
 
-  /** Has the sender try again, with the newest view. */
-  private notOwner(mayHaveRun: boolean): ForwardResponse {
+  /** Makes the sender try again, with the newest view. */
+  private notOwnerResponse(mayHaveRun: boolean): ForwardResponse {
     const value = this.options.views.current;
-    return this.responseOf({ result: { case: 'notOwner', value }, mayHaveRun });
+    return this.createResponse({ result: { case: 'notOwner', value }, mayHaveRun });
   }
 
-  private answeredWith(value: Answer): ForwardResponse {
-    return this.responseOf({ result: { case: 'answer', value } });
+  private answerResponse(value: Answer): ForwardResponse {
+    return this.createResponse({ result: { case: 'answer', value } });
   }
 
-  private responseOf(init: MessageInitShape<typeof ForwardResponseSchema>): ForwardResponse {
+  private createResponse(init: MessageInitShape<typeof ForwardResponseSchema>): ForwardResponse {
     const configurationVersion = this.options.configurations.number;
     return create(ForwardResponseSchema, { ...init, configurationVersion });
   }
 
-  private hasVersion(version: bigint): Promise<boolean> {
+  private waitForVersion(version: bigint): Promise<boolean> {
     const { configurations, timer } = this.options;
     return configurations.reached(version, timer, VERSION_WAIT_MS);
   }
 
-  private async tryOwner(submission: Submission, gone: AbortSignal): Promise<Attempt> {
+  private async tryOwner(submission: Submission, callerGone: AbortSignal): Promise<OwnerAttempt> {
     const owner = this.ownerOf(submission);
     if (!owner) return NOT_SENT;
-    if (owner.incarnation !== this.options.self) return this.passOn(submission, owner, gone);
+    if (owner.incarnation !== this.options.self)
+      return this.forwardTo(submission, owner, callerGone);
     const reply = await this.jobs.handle(submission);
-    if (reply.kind === 'answer') return { answer: reply.answer, sent: false };
-    if (reply.kind === 'notOwner') return { sent: reply.mayHaveRun };
-    return this.passOn(submission, this.memberOf(reply.incarnation), gone);
+    if (reply.kind === 'answer') return { answer: reply.answer, mayHaveReached: false };
+    if (reply.kind === 'notOwner') return { mayHaveReached: reply.mayHaveRun };
+    return this.forwardTo(submission, this.memberOf(reply.incarnation), callerGone);
   }
 
-  private async passOn(
+  private async forwardTo(
     submission: Submission,
     member: Member | undefined,
-    gone: AbortSignal,
-  ): Promise<Attempt> {
+    callerGone: AbortSignal,
+  ): Promise<OwnerAttempt> {
     if (!member || this.options.isSuspected(member.incarnation)) return NOT_SENT;
     const { network, views, configurations, tracer } = this.options;
-    const { signal, end } = this.options.watchOwner(member.incarnation, gone);
+    const { signal, release } = this.options.watchOwner(member.incarnation, callerGone);
     const reply = await traceForward(tracer, submission, member, async (traced) => {
       const req = create(ForwardRequestSchema, {
         submission: traced,
@@ -114,13 +120,13 @@
       });
       return network.forward(member.address, req, signal);
     });
-    end();
-    if (reply.isErr()) return { sent: reply.error.kind === 'broken' };
-    await this.hasVersion(reply.value.configurationVersion);
+    release();
+    if (reply.isErr()) return { mayHaveReached: reply.error.kind === 'broken' };
+    await this.waitForVersion(reply.value.configurationVersion);
     const { result } = reply.value;
-    if (result.case === 'answer') return { answer: result.value, sent: true };
+    if (result.case === 'answer') return { answer: result.value, mayHaveReached: true };
     if (result.case === 'notOwner') views.adopt(result.value);
-    return { sent: reply.value.mayHaveRun };
+    return { mayHaveReached: reply.value.mayHaveRun };
   }
 
   private ownerOf({ service, kind, id }: Submission): Member | undefined {
@@ -133,47 +139,47 @@
   }
 }
 
-/** The outcome of one try to reach an owner. */
-interface Attempt {
+/** Result of one attempt to reach an owner. */
+interface OwnerAttempt {
   readonly answer?: Answer;
   /** Whether the submission may have reached an owner. */
-  readonly sent: boolean;
+  readonly mayHaveReached: boolean;
 }
 
-const NOT_SENT: Attempt = { sent: false };
+const NOT_SENT: OwnerAttempt = { mayHaveReached: false };
 
-/** How long to wait for a newer view before the next try. */
-const RETRY_MS = 250;
+/** How long to wait for a newer view before the next attempt. */
+const VIEW_WAIT_MS = 250;
 
 /**
- * An earlier try may have been taken up, so a later "not run" proves nothing
+ * An earlier attempt may have been accepted, so a later "not run" proves nothing
  * about the job as a whole.
  */
-function withoutProof(answer: Answer): Answer {
+function withoutNotRunGuarantee(answer: Answer): Answer {
   if (answer.outcome !== Outcome.NOT_RUN) return answer;
   return { ...answer, outcome: Outcome.UNKNOWN };
 }
 
-/** Without the owner nobody can say whether an earlier submission of the id was run. */
-function giveUp(): Answer {
+/** Without the owner it is unknown whether an earlier submission of the id was run. */
+function ownerUnreachable(): Answer {
   return create(AnswerSchema, {
     outcome: Outcome.UNKNOWN,
     reason: 'the owner of this id can not be reached; submit it again to run or continue it',
-    retryAfterMs: COME_BACK_MS,
+    retryAfterMs: RETRY_AFTER_MS,
   });
 }
 
-/** The other entry has a newer configuration than came here in time. */
-function behind(): Answer {
+/** The forwarding entry has a newer configuration, which did not arrive here in time. */
+function configurationOutdated(): Answer {
   return create(AnswerSchema, {
     outcome: Outcome.UNKNOWN,
     reason: 'the owner of this id does not have the newest configuration yet; submit it again',
-    retryAfterMs: COME_BACK_MS,
+    retryAfterMs: RETRY_AFTER_MS,
   });
 }
 
-/** How long to wait for a configuration that another entry has already. */
+/** How long to wait for a configuration that another entry already has. */
 const VERSION_WAIT_MS = 2000;
 
-/** When a caller may try again after its owner was not reached. */
-const COME_BACK_MS = 2000;
+/** Retry delay for a caller whose job's owner was not reached. */
+const RETRY_AFTER_MS = 2000;
--- a/src/entry/SeedLinks.ts
+++ b/src/entry/SeedLinks.ts
@@ -24,66 +24,66 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly network: Pick<Network, 'dial'>;
-  /** Addresses of other entries, from the settings. */
+  /** Addresses of the seed entries, from the settings. */
   readonly addresses: readonly string[];
   readonly self: string;
   readonly hello: () => Hello;
   readonly keepAlive: KeepAliveOptions;
   readonly views: Versioned<View>;
   readonly configurations: Versioned<Configuration>;
-  /** Told of a message that could not be handled; the link goes on with the next. */
-  readonly failed: (peer: Hello, message: PeerMessage, error: unknown) => void;
-  /** Whether this entry is cut off from the members: not one of them, and linked to none. */
+  /** Called with a message that could not be handled; the link continues with the next one. */
+  readonly onMessageError: (peer: Hello, message: PeerMessage, error: unknown) => void;
+  /** Whether this entry is isolated from the members: not one of them, and linked to none. */
   readonly isNeeded: () => boolean;
 }
 
 /**
- * Links to the entries that the settings name, for an entry that can't become
- * a member because the store is down: they tell it the view and the
+ * Links to the seed entries in the settings, for an entry that can't become a
+ * member because the store is down. The seed entries send it the view and the
  * configuration, so that it can serve callers by forwarding.
  */
 export default class SeedLinks {
-  private readonly unasked: Set<string>;
+  private readonly uncontacted: Set<string>;
 
-  private sessions = 0n;
+  private lastSession = 0n;
 
   private constructor(private readonly options: SeedLinksOptions) {
-    this.unasked = new Set(options.addresses);
+    this.uncontacted = new Set(options.addresses);
   }
 
-  /** Creates the links, none open yet. */
+  /** Creates the links without opening any. */
   static create(options: SeedLinksOptions): SeedLinks {
     return new SeedLinks(options);
   }
 
-  /** Whether every address has told what it knows or could not be reached. */
+  /** Whether every seed entry has sent its state or could not be reached. */
   get hasContactedAll(): boolean {
-    return this.unasked.size === 0;
+    return this.uncontacted.size === 0;
   }
 
-  /** Keeps a link to each address whenever they are needed, until the signal aborts. */
+  /** Maintains a link to each address while `isNeeded` returns true, until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { addresses } = this.options;
-    await Promise.all(addresses.map((address) => this.keepAsking(address, signal)));
+    await Promise.all(addresses.map((address) => this.maintainLink(address, signal)));
   }
 
-  private async keepAsking(address: string, signal: AbortSignal): Promise<void> {
+  private async maintainLink(address: string, signal: AbortSignal): Promise<void> {
     const { timer, random, isNeeded } = this.options;
-    const backoff = Backoff.of(FIRST_DELAY_MS, DELAY_LIMIT_MS, random);
-    // The store is asked first; as a rule nothing more is needed.
+    const backoff = Backoff.of(MIN_DELAY_MS, MAX_DELAY_MS, random);
+    // The store is tried first and usually makes these links unnecessary.
     await timer.sleep(backoff.next(), signal);
     while (!signal.aborted) {
-      if (isNeeded()) await this.ask(address, signal);
+      if (isNeeded()) await this.connect(address, signal);
       else backoff.reset();
-      this.unasked.delete(address);
+      this.uncontacted.delete(address);
       if (!signal.aborted) await timer.sleep(backoff.next(), signal);
     }
   }
 
-  private async ask(address: string, signal: AbortSignal): Promise<void> {
+  private async connect(address: string, signal: AbortSignal): Promise<void> {
     const { network, hello } = this.options;
-    this.sessions += 1n;
-    const dialled = await network.dial(address, { ...hello(), session: this.sessions });
+    this.lastSession += 1n;
+    const dialled = await network.dial(address, { ...hello(), session: this.lastSession });
     if (dialled.isOk()) await this.serve(dialled.value, address, signal);
   }
 
@@ -102,26 +102,26 @@
     await readMessages(link, {
       onMessage: (message) => {
         handleMessage(handlers, this.options, message);
-        // A greeting ends with a heartbeat; before it, something may be missing.
+        // The initial state ends with a heartbeat and may be incomplete before it.
         if (message.case !== 'heartbeat') return;
-        this.hear(address, message.value, link);
+        this.handleHeartbeat(address, message.value, link);
         if (!isNeeded()) link.close();
       },
-      onError: (message, error) => this.options.failed(link.peer, message, error),
+      onError: (message, error) => this.options.onMessageError(link.peer, message, error),
     });
     signal.removeEventListener('abort', close);
   }
 
-  private hear(address: string, heartbeat: Heartbeat, link: Link): void {
-    this.unasked.delete(address);
+  private handleHeartbeat(address: string, heartbeat: Heartbeat, link: Link): void {
+    this.uncontacted.delete(address);
     const { views, configurations } = this.options;
     const isBehind =
       heartbeat.viewNumber > views.number || heartbeat.configurationVersion > configurations.number;
-    const own: PeerMessage = { case: 'heartbeat', value: this.heartbeat() };
-    if (isBehind) link.send(own);
+    const reply: PeerMessage = { case: 'heartbeat', value: this.heartbeat() };
+    if (isBehind) link.send(reply);
   }
 
-  /** Without loads: an entry that is no member lends no credits. */
+  /** Has no loads, since an entry that is not a member lends no credits. */
   private heartbeat(): Heartbeat {
     const { views, configurations } = this.options;
     return create(HeartbeatSchema, {
@@ -131,8 +131,8 @@
   }
 }
 
-const FIRST_DELAY_MS = 200;
-const DELAY_LIMIT_MS = 2000;
+const MIN_DELAY_MS = 200;
+const MAX_DELAY_MS = 2000;
 
 const handlers: MessageHandlers<Pick<SeedLinksOptions, 'views' | 'configurations'>> = {
   view: ({ views }, view) => views.adopt(view),
--- a/src/entry/SidecarLinks.ts
+++ b/src/entry/SidecarLinks.ts
@@ -18,13 +18,13 @@
 import type Recovery from '../recovery/Recovery';
 import type SidecarLinksOptions from './SidecarLinksOptions';
 
-/** The sidecars linked to this entry. One task serves each link from its opening to its end. */
+/** The sidecars linked to this entry. One async task serves each link until it closes. */
 export default class SidecarLinks {
   private readonly peers = new Map<string, SidecarPeer>();
 
-  private readonly adoptions = new Map<string, ((adopted: Adopted | undefined) => void)[]>();
+  private readonly pendingAdoptions = new Map<string, ((adopted: Adopted | undefined) => void)[]>();
 
-  private readonly absences = new Map<string, Subscription>();
+  private readonly reconnectTimers = new Map<string, Subscription>();
 
   private constructor(
     private readonly options: SidecarLinksOptions,
@@ -32,7 +32,7 @@
     private readonly recovery: Recovery,
   ) {}
 
-  /** Creates the links of an entry, none yet. */
+  /** Creates an empty set of links. */
   static create(
     options: SidecarLinksOptions,
     dispatcher: Dispatcher,
@@ -41,7 +41,7 @@
     return new SidecarLinks(options, dispatcher, recovery);
   }
 
-  /** The sidecars that are linked or may come back shortly. */
+  /** The sidecars that are linked or may still reconnect. */
   all(): SidecarPeer[] {
     return [...this.peers.values()];
   }
@@ -51,15 +51,15 @@
     return this.peers.get(incarnation)?.link !== undefined;
   }
 
-  /** The sidecar with an open link, if it has one. */
+  /** The sidecar, if it has an open link. */
   linkedPeer(incarnation: string): SidecarPeer | undefined {
     const peer = this.peers.get(incarnation);
     return peer?.link ? peer : undefined;
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   close(): void {
-    this.absences.forEach((absence) => absence.cancel());
+    this.reconnectTimers.forEach((timer) => timer.cancel());
     this.peers.forEach((peer) => peer.link?.close());
   }
 
@@ -68,7 +68,10 @@
     this.peers.forEach((peer) => peer.link?.send(message));
   }
 
-  /** Has a sidecar report a job to this entry; undefined when its link ends first. */
+  /**
+   * Asks a sidecar to report a job to this entry as its new owner; undefined if its
+   * link ends first.
+   */
   adopt(incarnation: string, job: string): Promise<HeldJob | undefined> {
     const peer = this.peers.get(incarnation);
     if (!peer?.link) return Promise.resolve(undefined);
@@ -76,15 +79,15 @@
     const value = create(AdoptSchema, { jobs: [job], owner: self, viewNumber: viewNumber() });
     peer.link.send({ case: 'adopt', value });
     return new Promise((resolve) => {
-      const waiting = this.adoptions.get(incarnation) ?? [];
-      waiting.push((adopted) => resolve(adopted && (adopted.jobs[0] ?? emptyJob(job))));
-      this.adoptions.set(incarnation, waiting);
+      const pending = this.pendingAdoptions.get(incarnation) ?? [];
+      pending.push((adopted) => resolve(adopted && (adopted.jobs[0] ?? emptyJob(job))));
+      this.pendingAdoptions.set(incarnation, pending);
     });
   }
 
   /** Serves a sidecar's link until it ends. */
   async serve(link: Link): Promise<void> {
-    const peer = this.open(link);
+    const peer = this.attach(link);
     const keepAlive = KeepAlive.start(link, this.options.timer, this.options.keepAlive, {
       heartbeat: () => ({ case: 'heartbeat', value: this.options.heartbeat(peer) }),
       onSuspicionChange: (suspected) => {
@@ -94,67 +97,67 @@
     });
     await readMessages(link, {
       onMessage: (message) => this.receive(peer, message),
-      onError: (message, error) => this.options.failed(link.peer, message, error),
+      onError: (message, error) => this.options.onMessageError(link.peer, message, error),
     });
     keepAlive.stop();
-    this.end(peer, link);
+    this.linkEnded(peer, link);
   }
 
-  private open(link: Link): SidecarPeer {
+  private attach(link: Link): SidecarPeer {
     const { incarnation } = link.peer;
     const peer = this.peers.get(incarnation) ?? SidecarPeer.fromLink(link);
-    const older = peer.link;
+    const previous = peer.link;
     peer.link = link;
     peer.suspected = false;
-    older?.close();
+    previous?.close();
     this.peers.set(incarnation, peer);
-    this.absences.get(incarnation)?.cancel();
-    this.absences.delete(incarnation);
-    if (older) this.dispatcher.linkEnded(peer);
-    this.options.greet(link);
+    this.reconnectTimers.get(incarnation)?.cancel();
+    this.reconnectTimers.delete(incarnation);
+    if (previous) this.dispatcher.linkEnded(peer);
+    this.options.sendInitialState(link);
     this.dispatcher.linkOpened(peer);
-    this.options.linked(peer);
+    this.options.onLinked(peer);
     return peer;
   }
 
   private receive(peer: SidecarPeer, message: PeerMessage): void {
     const { dispatcher, recovery } = this;
-    const adoptions = this.adoptions.get(peer.incarnation);
+    const adoptions = this.pendingAdoptions.get(peer.incarnation);
     const { options } = this;
     handleMessage(handlers, { dispatcher, recovery, peer, adoptions, options }, message);
   }
 
-  private end(peer: SidecarPeer, link: Link): void {
+  private linkEnded(peer: SidecarPeer, link: Link): void {
     if (peer.link !== link) return;
     peer.link = undefined;
     this.dispatcher.linkEnded(peer);
-    this.failAdoptions(peer.incarnation);
+    this.endPendingAdoptions(peer.incarnation);
     if (peer.saidGoodbye) {
-      this.lose(peer);
+      this.markEnded(peer);
       return;
     }
     const { timer, witnessMs } = this.options;
-    this.absences.set(
+    this.reconnectTimers.set(
       peer.incarnation,
-      timer.after(witnessMs, () => this.lose(peer)),
+      timer.after(witnessMs, () => this.markEnded(peer)),
     );
   }
 
-  private lose(peer: SidecarPeer): void {
-    this.absences.delete(peer.incarnation);
+  private markEnded(peer: SidecarPeer): void {
+    this.reconnectTimers.delete(peer.incarnation);
     this.peers.delete(peer.incarnation);
     this.dispatcher.sidecarLost(peer.incarnation);
-    this.options.ended(peer);
+    this.options.onEnded(peer);
   }
 
-  private failAdoptions(incarnation: string): void {
-    const waiting = this.adoptions.get(incarnation) ?? [];
-    this.adoptions.delete(incarnation);
-    waiting.forEach((settle) => settle(undefined));
+  private endPendingAdoptions(incarnation: string): void {
+    const pending = this.pendingAdoptions.get(incarnation) ?? [];
+    this.pendingAdoptions.delete(incarnation);
+    pending.forEach((resolve) => resolve(undefined));
   }
 }
 
-/** What a message's handler works on. */
+/** The state that message handlers work on. */
 interface Context {
   readonly dispatcher: Dispatcher;
   readonly recovery: Recovery;
@@ -164,14 +167,17 @@
 }
 
 const handlers: MessageHandlers<Context> = {
-  // A sidecar passes on what another entry told it: some entries can't reach one another.
+  // Sidecars relay views and configurations, since some entries may be unable to reach each other.
   view: ({ options }, view) => options.views.adopt(view),
   configuration: ({ options }, configuration) => options.configurations.adopt(configuration),
   heartbeat: ({ options, peer }, heartbeat) => {
     const { views, configurations } = options;
     const send = (message: PeerMessage) => peer.link?.send(message);
-    const beat = (): PeerMessage => ({ case: 'heartbeat', value: options.heartbeat(peer) });
-    syncVersions({ views, configurations, send, heartbeat: beat }, heartbeat);
+    const nextHeartbeat = (): PeerMessage => ({
+      case: 'heartbeat',
+      value: options.heartbeat(peer),
+    });
+    syncVersions({ views, configurations, send, heartbeat: nextHeartbeat }, heartbeat);
   },
   grant: ({ dispatcher, peer }, grant) => dispatcher.handleGrant(peer, grant),
   done: ({ dispatcher, peer }, done) => dispatcher.handleDone(peer, done),
--- a/src/entry/SidecarLinksOptions.ts
+++ b/src/entry/SidecarLinksOptions.ts
@@ -7,25 +7,25 @@
 import type PeerMessage from '../link/PeerMessage';
 import type EntryMetrics from '../observe/EntryMetrics';
 
-/** What the links to sidecars need from the entry around them. */
+/** Dependencies of the links to sidecars. */
 export default interface SidecarLinksOptions {
   readonly timer: TimerService;
   readonly metrics?: EntryMetrics;
   readonly self: string;
   readonly viewNumber: () => bigint;
-  /** How long a sidecar may stay away before it counts as lost. */
+  /** How long a sidecar may have no link before it counts as lost, in milliseconds. */
   readonly witnessMs: number;
   readonly keepAlive: KeepAliveOptions;
-  /** Makes the next heartbeat to a sidecar. */
+  /** Creates the next heartbeat to a sidecar. */
   readonly heartbeat: (peer: SidecarPeer) => Heartbeat;
   readonly views: Versioned<View>;
   readonly configurations: Versioned<Configuration>;
-  /** Sends what a newly linked process has to know. */
-  readonly greet: (link: Link) => void;
-  /** Told of a message that could not be handled; the link goes on with the next. */
-  readonly failed: (peer: Hello, message: PeerMessage, error: unknown) => void;
-  /** Told when a sidecar has linked. */
-  readonly linked: (peer: SidecarPeer) => void;
-  /** Told when a sidecar has ended and its tasks are settled. */
-  readonly ended: (peer: SidecarPeer) => void;
+  /** Sends the current view and configuration to a newly linked process. */
+  readonly sendInitialState: (link: Link) => void;
+  /** Called with a message that could not be handled; the link continues with the next one. */
+  readonly onMessageError: (peer: Hello, message: PeerMessage, error: unknown) => void;
+  /** Called when a sidecar has linked. */
+  readonly onLinked: (peer: SidecarPeer) => void;
+  /** Called when a sidecar has ended and its tasks are settled. */
+  readonly onEnded: (peer: SidecarPeer) => void;
 }
--- a/src/entry/aggregateResults.ts
+++ b/src/entry/aggregateResults.ts
@@ -8,26 +8,28 @@
 } from '../gen/magnoliakeel/v1/peer_pb';
 
 /**
- * Decides a job's answer from its results so far; undefined while it is open.
- * A job is completed only with every task completed. It ends at the first
- * result that rules this out, without the results of the others.
+ * Derives a job's answer from its results so far; undefined while the job is open.
+ * A job is completed only if every task is completed. It ends at the first result
+ * that rules this out, without waiting for the others.
  */
 export default function aggregateResults(
   results: readonly (TaskResult | undefined)[],
   finished: number,
-  anyStarted: boolean,
+  hasStartedTasks: boolean,
 ): Answer | undefined {
   const size = results.length;
-  const bad = results.find((result) => result && result.status !== TaskStatus.COMPLETED);
-  if (bad) {
+  const failure = results.find((result) => result && result.status !== TaskStatus.COMPLETED);
+  if (failure) {
     const outcome =
-      bad.status === TaskStatus.NOT_RUN && anyStarted ? Outcome.FAILED : outcomes[bad.status];
-    const reason = `task ${bad.index}: ${bad.reason || reasons[bad.status]}`;
+      failure.status === TaskStatus.NOT_RUN && hasStartedTasks
+        ? Outcome.FAILED
+        : outcomes[failure.status];
+    const reason = `task ${failure.index}: ${failure.reason || reasons[failure.status]}`;
     return create(AnswerSchema, { outcome, reason, size, finished });
   }
   if (finished < size) return undefined;
-  const complete = results.filter((result) => result !== undefined);
-  return create(AnswerSchema, { outcome: Outcome.COMPLETED, results: complete, size, finished });
+  const completed = results.filter((result) => result !== undefined);
+  return create(AnswerSchema, { outcome: Outcome.COMPLETED, results: completed, size, finished });
 }
 
 const outcomes: Record<TaskStatus, Outcome> = {
--- a/src/entry/createPeerHandlers.ts
+++ b/src/entry/createPeerHandlers.ts
@@ -4,7 +4,7 @@
 import type PeerHandlers from '../link/PeerHandlers';
 import type PeerFacingEntry from './PeerFacingEntry';
 
-/** What an entry does for the processes that link to it and call it. */
+/** Creates the handlers for processes that link to an entry or call it. */
 export default function createPeerHandlers(entry: PeerFacingEntry): PeerHandlers {
   const never = new AbortController().signal;
   return {
--- a/src/entry/handOverRecords.ts
+++ b/src/entry/handOverRecords.ts
@@ -4,8 +4,8 @@
 import type Network from '../link/Network';
 
 /**
- * Gives the records of a leaving entry to the entries that own their jobs next,
- * and says whether all of them were taken.
+ * Hands over the records of a leaving entry to the next owners of their jobs.
+ * Resolves to whether all of them were accepted.
  */
 export default async function handOverRecords(
   records: readonly JobRecord[],
@@ -23,20 +23,20 @@
     const owner = ownerOf(record.job, names)!;
     byOwner.set(owner, [...(byOwner.get(owner) ?? []), record]);
   });
-  const given = owners.flatMap(({ incarnation, address }) =>
-    batches(byOwner.get(incarnation) ?? []).map((batch) =>
-      network.handover(address, create(HandoverRequestSchema, { view, records: batch })),
+  const handovers = owners.flatMap(({ incarnation, address }) =>
+    chunksOf(byOwner.get(incarnation) ?? []).map((chunk) =>
+      network.handover(address, create(HandoverRequestSchema, { view, records: chunk })),
     ),
   );
-  const replies = await Promise.all(given);
+  const replies = await Promise.all(handovers);
   return replies.every((reply) => reply.isOk());
 }
 
-const BATCH_RECORDS = 200;
+const RECORDS_PER_REQUEST = 200;
 
-function batches(records: readonly JobRecord[]): JobRecord[][] {
-  const count = Math.ceil(records.length / BATCH_RECORDS);
-  return Array.from({ length: count }, (_, at) =>
-    records.slice(at * BATCH_RECORDS, (at + 1) * BATCH_RECORDS),
+function chunksOf(records: readonly JobRecord[]): JobRecord[][] {
+  const chunkCount = Math.ceil(records.length / RECORDS_PER_REQUEST);
+  return Array.from({ length: chunkCount }, (_, chunk) =>
+    records.slice(chunk * RECORDS_PER_REQUEST, (chunk + 1) * RECORDS_PER_REQUEST),
   );
 }
--- a/src/entry/inspectEntry.ts
+++ b/src/entry/inspectEntry.ts
@@ -9,7 +9,7 @@
 import type InspectableEntry from './InspectableEntry';
 import type EntryOptions from './EntryOptions';
 
-/** Describes an entry for operators, with one job's record where a key is given. */
+/** Describes an entry for operators, including one job's record if a key is given. */
 export default function inspectEntry(
   entry: InspectableEntry,
   { settings, incarnation, operators }: EntryOptions,
--- a/src/entry/registerEntryMetrics.ts
+++ b/src/entry/registerEntryMetrics.ts
@@ -2,7 +2,7 @@
 import type Metrics from '../observe/Metrics';
 import type Entry from './Entry';
 
-/** Has the state of an entry read whenever its metrics are shown. */
+/** Registers the metrics that are read from an entry's state at each export. */
 export default function registerEntryMetrics(entry: Entry, metrics: Metrics): void {
   const byService = (valueOf: (load: ServiceLoad) => number) => () =>
     entry.dispatcher
--- a/src/entry/traceForward.ts
+++ b/src/entry/traceForward.ts
@@ -6,7 +6,7 @@
 
 type Reply = Result<ForwardResponse, CallError>;
 
-/** Hands a submission to another entry within a span of its own, when it is traced. */
+/** Forwards a submission to another entry within a span of its own, if tracing is on. */
 export default async function traceForward(
   tracer: Tracer | undefined,
   submission: Submission,
--- a/src/entry/traceRequest.ts
+++ b/src/entry/traceRequest.ts
@@ -3,7 +3,7 @@
 import enumLabels from '../observe/enumLabels';
 import type Tracer from '../observe/Tracer';
 
-/** Answers a caller's request within a span of its own, when it is traced. */
+/** Answers a caller's request within a span of its own, if tracing is on. */
 export default async function traceRequest(
   tracer: Tracer | undefined,
   request: CallerSubmission,
--- a/test/entry/activeManifest.test.ts
+++ b/test/entry/activeManifest.test.ts
@@ -4,17 +4,17 @@
 import ActiveManifest from '../../src/entry/ActiveManifest';
 import { ConfigurationSchema } from '../../src/gen/magnoliakeel/v1/peer_pb';
 
-function followed(...manifests: string[]): ActiveManifest {
+function manifestAfter(...manifests: string[]): ActiveManifest {
   const configurations = Versioned.of(create(ConfigurationSchema), ({ version }) => version);
-  const view = ActiveManifest.follow(configurations);
-  manifests.forEach((manifest, at) => {
-    configurations.adopt(create(ConfigurationSchema, { version: BigInt(at + 1), manifest }));
+  const active = ActiveManifest.follow(configurations);
+  manifests.forEach((manifest, index) => {
+    configurations.adopt(create(ConfigurationSchema, { version: BigInt(index + 1), manifest }));
   });
-  return view;
+  return active;
 }
 
-test('a manifest that names no teams has the defaults', () => {
-  const { current } = followed('{"services":[{"name":"booking"}]}');
+test('a manifest without teams has the defaults', () => {
+  const { current } = manifestAfter('{"services":[{"name":"booking"}]}');
   expect([current!.teams, current!.system, current!.services[0]!.timeoutMs]).toMatchInlineSnapshot(`
     [
       [],
@@ -26,17 +26,17 @@
   `);
 });
 
-test('what is no manifest leaves the last one in force', () => {
-  const view = followed('{"services":[{"name":"booking"}]}', '{"services":1}', 'no JSON');
-  expect(view.offers('booking')).toBe(true);
+test('a text that is not a valid manifest leaves the last one active', () => {
+  const active = manifestAfter('{"services":[{"name":"booking"}]}', '{"services":1}', 'no JSON');
+  expect(active.offersService('booking')).toBe(true);
 });
 
-test('what was removed lately can still be asked for, also after a restart', () => {
-  const view = followed(
+test('a removed service and team can still be looked up, also after a restart', () => {
+  const active = manifestAfter(
     '{"services":[{"name":"booking"}],"teams":[{"name":"web","share":3}]}',
     '{}',
   );
-  const again = ActiveManifest.follow(
+  const restarted = ActiveManifest.follow(
     Versioned.of(
       create(ConfigurationSchema, {
         ...{ version: 2n, manifest: '{}' },
@@ -45,9 +45,9 @@
       ({ version }) => version,
     ),
   );
-  const told = [view, again].map((each) => [
-    ...[each.offers('booking'), each.offersTeam('web'), each.shareOf('web')],
-    ...[each.withRemoved!.services.length, each.withRemoved!.teams.length],
+  const lookups = [active, restarted].map((manifest) => [
+    ...[manifest.offersService('booking'), manifest.offersTeam('web'), manifest.shareOf('web')],
+    ...[manifest.withRemoved!.services.length, manifest.withRemoved!.teams.length],
   ]);
-  expect(told).toEqual(Array(2).fill([false, false, 3, 1, 1]));
+  expect(lookups).toEqual(Array(2).fill([false, false, 3, 1, 1]));
 });
--- a/test/entry/admission.test.ts
+++ b/test/entry/admission.test.ts
@@ -5,11 +5,11 @@
 import type AdmissionOptions from '../../src/entry/AdmissionOptions';
 import { Outcome, SubmissionSchema } from '../../src/gen/magnoliakeel/v1/peer_pb';
 
-function outcomeWith(predictedWaitMs: number, deadlineMs: number, isContinued = false): string {
+function admit(predictedWaitMs: number, deadlineMs: number, isContinued = false): string {
   const service = { jobTimeoutMs: 8000, queue: { maxTasks: 100 } };
   const options = {
-    manifest: { service: () => service, offers: () => true, offersTeam: () => true },
-    ...{ recordBytes: 1000, queued: () => 0, isLeaving: () => false },
+    manifest: { service: () => service, offersService: () => true, offersTeam: () => true },
+    ...{ recordBytes: 1000, queueLength: () => 0, isLeaving: () => false },
     predictedWaitMs: () => predictedWaitMs,
   } as unknown as AdmissionOptions;
   const submission = create(SubmissionSchema, { service: 'booking', team: 'web', deadlineMs });
@@ -18,23 +18,23 @@
     0,
     isContinued,
   );
-  return answer ? `${Outcome[answer.outcome]}, again in ${answer.retryAfterMs} ms` : 'taken on';
+  return answer ? `${Outcome[answer.outcome]}, retry after ${answer.retryAfterMs} ms` : 'accepted';
 }
 
-it('refuses what would wait for more than half of its time, with a jittered time to come back', () => {
+it('refuses a submission that would wait for more than half of its time, with a jittered retry delay', () => {
   expect({
-    shortWait: outcomeWith(900, 2000),
-    longWait: outcomeWith(1100, 2000),
-    longWaitOfLongTime: outcomeWith(1100, 0),
-    beyondTheServiceLimit: outcomeWith(4100, 60_000),
-    ofContinuedJob: outcomeWith(1100, 2000, true),
+    shortWait: admit(900, 2000),
+    longWait: admit(1100, 2000),
+    longWaitWithoutDeadline: admit(1100, 0),
+    deadlineBeyondServiceLimit: admit(4100, 60_000),
+    longWaitOfContinuedJob: admit(1100, 2000, true),
   }).toMatchInlineSnapshot(`
     {
-      "beyondTheServiceLimit": "NOT_RUN, again in 1500 ms",
-      "longWait": "NOT_RUN, again in 1500 ms",
-      "longWaitOfLongTime": "taken on",
-      "ofContinuedJob": "taken on",
-      "shortWait": "taken on",
+      "deadlineBeyondServiceLimit": "NOT_RUN, retry after 1500 ms",
+      "longWait": "NOT_RUN, retry after 1500 ms",
+      "longWaitOfContinuedJob": "accepted",
+      "longWaitWithoutDeadline": "accepted",
+      "shortWait": "accepted",
     }
   `);
 });
--- a/test/entry/configurationPropagation.test.ts
+++ b/test/entry/configurationPropagation.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from 'vitest';
 import SimulatedSystem from '../support/SimulatedSystem';
 
-test('a change is in force at every process at once', async () => {
+test('a new configuration is active at every process within 100 ms', async () => {
   const system = await SimulatedSystem.start();
   await system.configure();
   await system.timer.advance(100);
   expect(system.versions()).toMatchInlineSnapshot(`"e1 2, e2 2, e3 2, s1 2, s2 2, s3 2"`);
 });
 
-test('an entry that cannot reach the store learns a change from the others', async () => {
+test('an entry that cannot reach the store receives a new configuration from the other entries', async () => {
   const system = await SimulatedSystem.start();
   system.engine.setFaults({ down: true }, 'e1');
   await system.configure();
@@ -16,7 +16,7 @@
   expect(system.versions()).toMatchInlineSnapshot(`"e1 2, e2 2, e3 2, s1 2, s2 2, s3 2"`);
 });
 
-test('an entry without store and entries learns a change through a sidecar', async () => {
+test('an entry isolated from the store and the other entries receives a new configuration from a sidecar', async () => {
   const system = await SimulatedSystem.start();
   system.engine.setFaults({ down: true }, 'e1');
   system.network.partition('e1', 'e2');
@@ -26,7 +26,7 @@
   expect(system.versions()).toMatchInlineSnapshot(`"e1 2, e2 2, e3 2, s1 2, s2 2, s3 2"`);
 });
 
-test('a change made right after a long outage of the store is in force within 4 s', async () => {
+test('a new configuration set right after a long store outage is active within 4 s', async () => {
   const system = await SimulatedSystem.start();
   system.engine.setFaults({ down: true });
   await system.timer.advance(120_000);
@@ -36,7 +36,7 @@
   expect(system.versions()).toMatchInlineSnapshot(`"e1 2, e2 2, e3 2, s1 2, s2 2, s3 2"`);
 });
 
-test('an entry and a sidecar that start again while the store is down have the newest version', async () => {
+test('an entry and a sidecar restarted while the store is down receive the newest version', async () => {
   const system = await SimulatedSystem.start();
   await system.configure();
   await system.timer.advance(100);
@@ -45,10 +45,10 @@
   await system.restart('e1');
   await system.restart('s1');
   const ready: boolean[] = [];
-  const look = () => ready.push(system.entries.get('e1')!.entry.isReady);
-  look();
+  const recordReady = () => ready.push(system.entries.get('e1')!.entry.isReady);
+  recordReady();
   await system.timer.advance(4_000);
-  look();
+  recordReady();
   expect([system.versions(), ready.join()]).toMatchInlineSnapshot(`
     [
       "e1 2, e2 2, e3 2, s1 2, s2 2, s3 2",
@@ -57,7 +57,7 @@
   `);
 });
 
-test('no process goes back when the store does', async () => {
+test('no process reverts to an older version when the store does', async () => {
   const system = await SimulatedSystem.start();
   await system.configure();
   await system.timer.advance(100);
@@ -66,7 +66,7 @@
   expect(system.versions()).toMatchInlineSnapshot(`"e1 2, e2 2, e3 2, s1 2, s2 2, s3 2"`);
 });
 
-test('a paused process has the newest version when it goes on', async () => {
+test('a paused process receives the newest version once it resumes', async () => {
   const system = await SimulatedSystem.start();
   ['e1', 's1'].forEach((name) => system.pause(name));
   await system.configure();
@@ -76,10 +76,10 @@
   expect(system.versions()).toMatchInlineSnapshot(`"e1 2, e2 2, e3 2, s1 2, s2 2, s3 2"`);
 });
 
-test('work in flight of a removed service finishes, and new work is refused', async () => {
+test('jobs in flight of a removed service finish, and new jobs are refused', async () => {
   const system = await SimulatedSystem.start();
-  const ask = { id: 'j', kind: 'job', tasks: [3000, 3000], via: 'e1' } as const;
-  system.call(ask).catch(() => undefined);
+  const call = { id: 'j', kind: 'job', tasks: [3000, 3000], via: 'e1' } as const;
+  system.call(call).catch(() => undefined);
   await system.timer.advance(500);
   await system.configure(
     { services: [] },
@@ -89,7 +89,7 @@
   const outcomes = () =>
     system.events.flatMap((event) => (event.kind === 'answered' ? event.outcome : []));
   const first = outcomes().join();
-  system.call({ ...ask, id: 'k', once: true }).catch(() => undefined);
+  system.call({ ...call, id: 'k', once: true }).catch(() => undefined);
   await system.timer.advance(1_000);
   expect([first, outcomes().join()]).toMatchInlineSnapshot(`
     [
@@ -99,15 +99,15 @@
   `);
 });
 
-test('an owner judges under no older configuration than the entry that forwards to it', async () => {
+test('an owner processes a forwarded job only once it has the configuration of the forwarding entry', async () => {
   const system = await SimulatedSystem.start();
   await system.configure({ services: [] });
   await system.timer.advance(100);
   const owner = system.owner('job', 'j');
   const via = ['e1', 'e2', 'e3'].find((name) => name !== owner)!;
   system.engine.setFaults({ down: true }, owner);
-  const late = ['configuration', 'heartbeat'];
-  const held = system.network.hold(({ kind, to }) => to === owner && late.includes(kind));
+  const delayedKinds = ['configuration', 'heartbeat'];
+  const held = system.network.hold(({ kind, to }) => to === owner && delayedKinds.includes(kind));
   await system.configure();
   await system.timer.advance(100);
   const before = system.versions();
--- a/test/entry/jobTable.test.ts
+++ b/test/entry/jobTable.test.ts
@@ -10,13 +10,17 @@
 const RETENTION_MS = 600_000;
 const SKEW_MS = 30_000;
 
-/** An owner with nothing to do. */
-function start(refuse: JobTableOptions['refuse'] = () => undefined) {
+/** Creates an empty job table that owns every key. */
+function createTable(refusalFor: JobTableOptions['refusalFor'] = () => undefined) {
   const timer = ManualTimer.create();
   const options: Partial<JobTableOptions> = {
-    ...{ timer, clockSkewMs: SKEW_MS, ownsNew: () => true, refuse },
-    resolve: async () => ({ kind: 'fresh' }),
-    ...{ retentionOf: () => RETENTION_MS, taskTimeoutOf: () => 1000, jobTimeoutOf: () => 1000 },
+    ...{ timer, clockSkewMs: SKEW_MS, ownsKey: () => true, refusalFor },
+    recover: async () => ({ kind: 'fresh' }),
+    ...{
+      retentionMsOf: () => RETENTION_MS,
+      taskTimeoutMsOf: () => 1000,
+      jobTimeoutMsOf: () => 1000,
+    },
   };
   const dispatcher = {
     enqueue: never,
@@ -26,8 +30,11 @@
   return { timer, jobs: JobTable.create(options as JobTableOptions, dispatcher) };
 }
 
-/** Submits a job whose id was made this long ago, and says what its owner answers. */
-async function submit({ timer, jobs }: ReturnType<typeof start>, ageMs: number, id = 'a') {
+/**
+ * Submits a job whose id was created `ageMs` ago and returns the outcome of the
+ * answer, or the kind of another reply.
+ */
+async function submit({ timer, jobs }: ReturnType<typeof createTable>, ageMs: number, id = 'a') {
   const createdMs = BigInt(timer.wall() - ageMs);
   const fields = { action: Action.SUBMIT, service: 'booking', kind: 'job', id, createdMs };
   const inputs = [Buffer.from('12345'), Buffer.from('678')];
@@ -39,20 +46,20 @@
   ['as old as the retention', RETENTION_MS, 'PENDING'],
   ['older than the retention', RETENTION_MS + 1, 'EXPIRED'],
   ['as far in the future as clocks may differ', -SKEW_MS, 'PENDING'],
-  ['further in the future', -SKEW_MS - 1, 'INVALID'],
-])('an id %s', async (_what, ageMs, outcome) => {
-  expect(await submit(start(), ageMs)).toBe(outcome);
+  ['further in the future than clocks may differ', -SKEW_MS - 1, 'INVALID'],
+])('an id %s', async (_age, ageMs, outcome) => {
+  expect(await submit(createTable(), ageMs)).toBe(outcome);
 });
 
-test('the inputs of open jobs count as kept, until the jobs have their answers', async () => {
-  const kept: number[] = [];
-  const owner = start((_submission, keptBytes) => {
-    kept.push(keptBytes);
+test('the inputs of open jobs count toward the memory of records until the jobs are answered', async () => {
+  const seenBytes: number[] = [];
+  const table = createTable((_submission, keptBytes) => {
+    seenBytes.push(keptBytes);
     return undefined;
   });
-  await submit(owner, 0, 'a');
-  await submit(owner, 0, 'b');
-  await owner.timer.advance(2000);
-  await submit(owner, 0, 'c');
-  expect(kept).toEqual([0, 8, 0]);
+  await submit(table, 0, 'a');
+  await submit(table, 0, 'b');
+  await table.timer.advance(2000);
+  await submit(table, 0, 'c');
+  expect(seenBytes).toEqual([0, 8, 0]);
 });
--- a/test/entry/seedLinks.test.ts
+++ b/test/entry/seedLinks.test.ts
@@ -15,25 +15,30 @@
 import ManualTimer from '../support/ManualTimer';
 import MemoryNetwork from '../support/MemoryNetwork';
 
-/** An entry that asks two others: the first is not there, the second tells what it knows, when it knows it. */
-async function ask(knows: readonly { afterMs: number; view?: bigint; version?: bigint }[]) {
+/**
+ * Runs an entry with two seed entries: the first is unreachable, the second sends
+ * the given states, each after a delay.
+ */
+async function contactSeeds(
+  states: readonly { afterMs: number; view?: bigint; version?: bigint }[],
+) {
   const timer = ManualTimer.create();
   const network = MemoryNetwork.create(timer);
   const hello = (instance: string) => () =>
     create(HelloSchema, { protocol: 1, role: Role.ENTRY, instance, incarnation: `${instance}.1` });
-  const link = async (made: Link) => {
-    for (const { afterMs, view, version } of knows) {
+  const serve = async (opened: Link) => {
+    for (const { afterMs, view, version } of states) {
       await timer.sleep(afterMs);
-      if (view) made.send({ case: 'view', value: create(ViewSchema, { number: view }) });
+      if (view) opened.send({ case: 'view', value: create(ViewSchema, { number: view }) });
       const value = create(ConfigurationSchema, { version: version ?? 0n });
-      made.send({ case: 'configuration', value });
+      opened.send({ case: 'configuration', value });
     }
-    made.send({ case: 'heartbeat', value: create(HeartbeatSchema) });
+    opened.send({ case: 'heartbeat', value: create(HeartbeatSchema) });
     await timer.sleep(60_000);
   };
   await network
     .endpoint('b')
-    .listen('b:1', hello('b'), { link } as Partial<PeerHandlers> as PeerHandlers);
+    .listen('b:1', hello('b'), { link: serve } as Partial<PeerHandlers> as PeerHandlers);
   const views = Versioned.of(create(ViewSchema), ({ number }) => number);
   const configurations = Versioned.of(create(ConfigurationSchema), ({ version }) => version);
   const seeds = SeedLinks.create({
@@ -41,24 +46,24 @@
     ...{ addresses: ['none:1', 'b:1'], self: 'a.1', hello: hello('a') },
     keepAlive: { intervalMs: 1000, suspectMs: 3000, closeMs: 10_000 },
     isNeeded: () => views.number < 9n,
-    failed: () => undefined,
+    onMessageError: () => undefined,
   });
   seeds.run(new AbortController().signal).catch(() => undefined);
-  const before = seeds.hasContactedAll;
+  const initially = seeds.hasContactedAll;
   await timer.advance(30_000);
-  return [views.number, configurations.number, before, seeds.hasContactedAll];
+  return [views.number, configurations.number, initially, seeds.hasContactedAll];
 }
 
-test('an entry without a store learns the view and the configuration from another', async () => {
-  const told = await ask([{ afterMs: 0, view: 9n, version: 3n }]);
-  expect(told).toEqual([9n, 3n, false, true]);
+test('an entry without a store receives the view and the configuration from a seed entry', async () => {
+  const state = await contactSeeds([{ afterMs: 0, view: 9n, version: 3n }]);
+  expect(state).toEqual([9n, 3n, false, true]);
 });
 
-test('it stays linked while the other knows too little', async () => {
-  const told = await ask([
+test('an entry keeps the link to a seed entry whose state is too old', async () => {
+  const state = await contactSeeds([
     { afterMs: 0, version: 3n },
     { afterMs: 2000, view: 7n, version: 4n },
     { afterMs: 3000, view: 8n, version: 4n },
   ]);
-  expect(told).toEqual([8n, 4n, false, true]);
+  expect(state).toEqual([8n, 4n, false, true]);
 });
--- a/test/entry/unhandledMessages.test.ts
+++ b/test/entry/unhandledMessages.test.ts
@@ -15,8 +15,8 @@
 type Links = EntryLinks | SidecarLinks;
 type Options = Parameters<typeof EntryLinks.create>[0] & Parameters<typeof SidecarLinks.create>[0];
 
-/** A link over which a result without its task arrives, and then a grant. */
-function linkOf(): Link {
+/** A link that delivers a result without its task and then a grant. */
+function createLink(): Link {
   const end = new AbortController();
   async function* messages(): AsyncGenerator<PeerMessage, void, void> {
     yield { case: 'done', value: create(DoneSchema) };
@@ -28,42 +28,42 @@
   };
 }
 
-/** What the parts around links were told while such a link was served. */
-async function serve(make: (options: Options, hear: (name: string) => void) => Links) {
-  const seen: string[] = [];
-  const hear = (name: string): void => {
-    seen.push(name);
+/** Serves such a link and returns the callbacks that were called. */
+async function serve(createLinks: (options: Options, onCall: (name: string) => void) => Links) {
+  const calls: string[] = [];
+  const onCall = (name: string): void => {
+    calls.push(name);
     if (name === 'done') throw new Error('no task');
   };
-  const note = (name: string) => () => {
-    seen.push(name);
+  const record = (name: string) => () => {
+    calls.push(name);
   };
   const options = {
     ...{ timer: ManualTimer.create(), keepAlive: { intervalMs: 1, suspectMs: 2, closeMs: 3 } },
-    ...{ greet: () => undefined, linked: () => undefined, witnessMs: 1 },
-    ...{ heartbeat: () => create(HeartbeatSchema), unlinked: note('unlinked') },
-    failed: (_peer: unknown, message: PeerMessage) => seen.push(`failed: ${message.case}`),
+    ...{ sendInitialState: () => undefined, onLinked: () => undefined, witnessMs: 1 },
+    ...{ heartbeat: () => create(HeartbeatSchema), onUnlinked: record('unlinked') },
+    onMessageError: (_peer: unknown, message: PeerMessage) => calls.push(`failed: ${message.case}`),
   } as unknown as Options;
-  await make(options, hear).serve(linkOf());
-  return seen;
+  await createLinks(options, onCall).serve(createLink());
+  return calls;
 }
 
-// A message without a part that its handler needs, or with a word of a later version, threw out of the task
-// that serves the link. On a link that the entry had dialled nobody handled that rejection, so that it would
-// have ended the process; on one that it had accepted, nobody was told that the link had ended.
-test('a message of another entry that cannot be handled is passed over', async () => {
-  const seen = await serve((options, hear) =>
-    EntryLinks.create({ ...options, receive: (_from, message) => hear(message.case) }),
+// Guards against a message that lacks a required field, or has a value of a later version, ending the async
+// task that serves its link. On a dialled link the unhandled rejection would end the process; on an accepted
+// link the end of the link would not be reported.
+test('a message from another entry that cannot be handled is skipped', async () => {
+  const calls = await serve((options, onCall) =>
+    EntryLinks.create({ ...options, onMessage: (_from, message) => onCall(message.case) }),
   );
-  expect(seen).toEqual(['done', 'failed: done', 'grant', 'unlinked']);
+  expect(calls).toEqual(['done', 'failed: done', 'grant', 'unlinked']);
 });
 
-test('a message of a sidecar that cannot be handled is passed over', async () => {
-  const seen = await serve((options, hear) => {
-    const told = (name: string) => () => hear(name);
-    const dispatcher = { linkOpened: () => undefined, linkEnded: told('unlinked') };
-    const parts = { ...dispatcher, done: told('done'), granted: told('grant') };
+test('a message from a sidecar that cannot be handled is skipped', async () => {
+  const calls = await serve((options, onCall) => {
+    const handler = (name: string) => () => onCall(name);
+    const dispatcher = { linkOpened: () => undefined, linkEnded: handler('unlinked') };
+    const parts = { ...dispatcher, handleDone: handler('done'), handleGrant: handler('grant') };
     return SidecarLinks.create(options, parts as never, {} as never);
   });
-  expect(seen).toEqual(['done', 'failed: done', 'grant', 'unlinked']);
+  expect(calls).toEqual(['done', 'failed: done', 'grant', 'unlinked']);
 });
