--- a/src/entry/JobTable.ts
+++ b/src/entry/JobTable.ts
@@ -233,7 +233,7 @@
     key: string,
     submission: Submission,
     reports: readonly LocatedTask[],
-    doubt = false,
+    reportsMayBeLost = false,
   ): Job {
     const job = Job.fromSubmission(key, submission, this.options.timer.now());
     this.records.set(key, job);
@@ -244,7 +244,7 @@
     this.keptBytes += job.inputBytes;
     const best = bestReports(reports);
     tasks.forEach((task) => {
-      if (!job.isAnswered) this.resumeOrEnqueue(job, task, best.get(task.index), doubt);
+      if (!job.isAnswered) this.resumeOrEnqueue(job, task, best.get(task.index), reportsMayBeLost);
     });
     this.armDeadline(job, submission);
     return job;
@@ -254,7 +254,7 @@
     job: Job,
     task: QueuedTask,
     report: LocatedTask | undefined,
-    doubt: boolean,
+    reportsMayBeLost: boolean,
   ): void {
     if (report) {
       job.recordStart(task.index, report.sidecar);
@@ -264,7 +264,7 @@
       else task.onSettled(create(TaskResultSchema, { index, status, output, runMs, reason }));
       return;
     }
-    if (doubt) {
+    if (reportsMayBeLost) {
       const { index } = task;
       const reason = 'it may have run where the record of it was lost';
       job.recordStart(index, '');
