--- a/src/membership/LeasedKey.ts
+++ b/src/membership/LeasedKey.ts
@@ -2,11 +2,14 @@
 import type LeaseStore from '../store/LeaseStore';
 import type StoreError from '../store/StoreError';
 
-/** Holds one key under a lease of this process, and takes a new lease when the old one lapsed. */
+/**
+ * Maintains one store key under a lease of this process. When the lease expires, a new one is granted and the
+ * key is rewritten.
+ */
 export default class LeasedKey {
   private lease: string | undefined;
 
-  private written = false;
+  private isWritten = false;
 
   private constructor(
     private readonly store: LeaseStore,
@@ -15,49 +18,49 @@
     private readonly ttlMs: number,
   ) {}
 
-  /** Creates a keeper that holds nothing yet. */
+  /** Creates the key without writing it or asking for a lease. */
   static of(store: LeaseStore, key: string, value: string, ttlMs: number): LeasedKey {
     return new LeasedKey(store, key, value, ttlMs);
   }
 
-  /** Renews the lease, or takes one and writes the key; says whether the key was written anew. */
+  /** Renews the lease, or obtains one and writes the key. Returns which of the two it did. */
   async renew(): Promise<Result<'renewed' | 'written', StoreError>> {
-    const held = await this.renewOrGrant();
-    if (held.isErr()) return err(held.error);
-    if (this.written) return ok('renewed');
-    const put = await this.store.put(this.key, this.value, { lease: held.value });
-    if (put.isErr()) return err(this.noted(put.error));
-    this.written = true;
+    const lease = await this.renewOrGrantLease();
+    if (lease.isErr()) return err(lease.error);
+    if (this.isWritten) return ok('renewed');
+    const put = await this.store.put(this.key, this.value, { lease: lease.value });
+    if (put.isErr()) return err(this.handleError(put.error));
+    this.isWritten = true;
     return ok('written');
   }
 
-  /** Ends the lease, and with it the key. */
+  /** Revokes the lease, which deletes the key. */
   async revoke(): Promise<Result<void, StoreError>> {
     if (this.lease === undefined) return ok(undefined);
     const revoked = await this.store.revokeLease(this.lease);
-    if (revoked.isErr()) return err(this.noted(revoked.error));
-    this.forget();
+    if (revoked.isErr()) return err(this.handleError(revoked.error));
+    this.reset();
     return ok(undefined);
   }
 
-  private async renewOrGrant(): Promise<Result<string, StoreError>> {
+  private async renewOrGrantLease(): Promise<Result<string, StoreError>> {
     if (this.lease !== undefined) {
       const renewed = await this.store.renewLease(this.lease);
       if (renewed.isOk()) return ok(this.lease);
-      if (this.noted(renewed.error).kind !== 'leaseGone') return err(renewed.error);
+      if (this.handleError(renewed.error).kind !== 'leaseGone') return err(renewed.error);
     }
     const granted = await this.store.grantLease(this.ttlMs);
     if (granted.isOk()) this.lease = granted.value;
     return granted;
   }
 
-  private noted(error: StoreError): StoreError {
-    if (error.kind === 'leaseGone') this.forget();
+  private handleError(error: StoreError): StoreError {
+    if (error.kind === 'leaseGone') this.reset();
     return error;
   }
 
-  private forget(): void {
+  private reset(): void {
     this.lease = undefined;
-    this.written = false;
+    this.isWritten = false;
   }
 }
--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -10,211 +10,224 @@
 import nextView from './nextView';
 import parseView from './parseView';
 
-/** Past views outlast the retention by this much, for clocks that differ. */
-const PAST_MARGIN_MS = 600_000;
-/** How much later each next member proposes a removal, so that one proposal is the rule. */
-const STAGGER_MS = 200;
-/** How often suspicion is looked at while a member's lease is gone. */
+/** Previous views are renewal this much longer than the retention, to allow for clock skew. */
+const PREVIOUS_VIEW_MARGIN_MS = 600_000;
+/**
+ * Each member in rank order waits this much longer before it proposes a removal, so that usually only one
+ * proposes it.
+ */
+const PROPOSAL_STAGGER_MS = 200;
+/** How often suspicion is checked while a member has no lease. */
 const SUSPICION_POLL_MS = 500;
-const FIRST_RETRY_MS = 200;
-const RETRY_LIMIT_MS = 5_000;
-const CHANGE_ATTEMPTS = 5;
+const FIRST_RETRY_DELAY_MS = 200;
+const MAX_RETRY_DELAY_MS = 5_000;
+const MAX_UPDATE_ATTEMPTS = 5;
 
 /**
- * One entry's place in the view of all entries.
+ * The group membership of one entry.
  *
- * Two questions are kept apart, after Schiper and Toueg, "From Set Membership
- * to Group Membership: A Separation of Concerns": whether a member seems up,
- * and whether it is a member. Each entry suspects others on its own, and being
- * wrong costs little. Membership is agreed: it changes only by compare-and-swap
- * against the view that the change was computed from, so a change takes effect
- * in the context it was issued in or not at all (their property S3). A member
- * is removed when both its lease in the store is gone and the proposer suspects it.
+ * Failure detection and membership are separate, after Schiper and Toueg, "From
+ * Set Membership to Group Membership: A Separation of Concerns". Each entry
+ * suspects others on its own, and a wrong suspicion costs little. Membership is
+ * agreed: a view changes only by compare-and-swap against the view that the
+ * change was computed from, so a change takes effect in the context it was
+ * issued in or not at all (their property S3). A member is removed when its
+ * lease in the store has expired and the proposer suspects it.
  *
- * An incarnation joins once. When it finds itself removed, it never comes back;
- * the process has to start again with a new one.
+ * An incarnation joins once. After its removal it never joins again; the
+ * process has to restart with a new incarnation.
  */
 export default class Membership {
-  private readonly lease: LeasedKey;
+  private readonly leasedKey: LeasedKey;
 
-  private readonly retries: Backoff;
+  private readonly retryBackoff: Backoff;
 
-  private readonly removals: Backoff;
+  private readonly removalBackoff: Backoff;
 
-  private readonly ending = new AbortController();
+  private readonly stopController = new AbortController();
 
-  private waker = new AbortController();
+  private wakeController = new AbortController();
 
-  /** Incarnations whose lease keys the store holds; undefined until first observed. */
-  private present: ReadonlySet<string> | undefined;
+  /** Incarnations whose lease keys the store holds; undefined until the store was first listed. */
+  private liveIncarnations: ReadonlySet<string> | undefined;
 
   private task: Promise<'stopped' | 'removed'> | undefined;
 
-  private leaving = false;
+  private isLeaving = false;
 
   private wasMember = false;
 
-  private removed = false;
+  private isRemoved = false;
 
-  /** Whether the stored view was seen to name this entry since its key was last written. */
-  private confirmed = false;
+  /** Whether a stored view read since the lease key was last written contains this entry. */
+  private isInStoredView = false;
 
-  private dueAt = 0;
+  private renewAt = 0;
 
   private proposeAt: number | undefined;
 
   private constructor(private readonly options: MembershipOptions) {
     const { store, random, self, leaseMs } = options;
     const key = storeKeys.entries + self.incarnation;
-    this.lease = LeasedKey.of(store, key, toJsonString(MemberSchema, self), leaseMs);
-    this.retries = Backoff.of(FIRST_RETRY_MS, Math.min(RETRY_LIMIT_MS, leaseMs / 3), random);
-    this.removals = Backoff.of(SUSPICION_POLL_MS, RETRY_LIMIT_MS, random);
+    this.leasedKey = LeasedKey.of(store, key, toJsonString(MemberSchema, self), leaseMs);
+    this.retryBackoff = Backoff.of(
+      FIRST_RETRY_DELAY_MS,
+      Math.min(MAX_RETRY_DELAY_MS, leaseMs / 3),
+      random,
+    );
+    this.removalBackoff = Backoff.of(SUSPICION_POLL_MS, MAX_RETRY_DELAY_MS, random);
   }
 
-  /** Creates the membership of an entry that has not joined yet. */
+  /** Creates the membership of an entry that has not joined the group yet. */
   static create(options: MembershipOptions): Membership {
     const membership = new Membership(options);
-    membership.meet(options.views.current);
-    options.views.subscribe((view) => membership.meet(view));
+    membership.handleView(options.views.current);
+    options.views.subscribe((view) => membership.handleView(view));
     return membership;
   }
 
-  /** Whether the newest view names this entry. */
+  /** Whether the newest view contains this entry. */
   get isJoined(): boolean {
-    return this.isIn(this.options.views.current);
+    return this.isMemberOf(this.options.views.current);
   }
 
   /**
    * Marks this entry as leaving in the view: it stays a member, so that it can
-   * finish its jobs, but owns no further ones. Gives up after some attempts.
+   * finish its jobs, but owns no new ones. Gives up after `MAX_UPDATE_ATTEMPTS`.
    */
   async markLeaving(): Promise<void> {
     const { self } = this.options;
-    await this.changeView(async (stored) => {
-      if (!this.isIn(stored)) return undefined;
+    await this.updateView(async (stored) => {
+      if (!this.isMemberOf(stored)) return undefined;
       return stored.members.map((member) =>
         member.incarnation === self.incarnation ? { ...member, leaving: true } : member,
       );
     });
   }
 
-  /** Takes note of the incarnations whose lease keys the store holds. */
-  setLiveIncarnations(present: ReadonlySet<string>): void {
-    this.present = present;
+  /** Updates the set of incarnations whose lease keys the store holds. */
+  setLiveIncarnations(liveIncarnations: ReadonlySet<string>): void {
+    this.liveIncarnations = liveIncarnations;
     this.wake();
   }
 
   /**
-   * Joins, stays a member and removes lapsed ones. Ends with `removed` when a
-   * newer view leaves this entry out (all subscribers of the view have been
-   * told by then), else with `stopped` after the signal or `leave`.
+   * Joins, renews the lease and removes members whose leases have expired. Resolves
+   * to `removed` once a newer view no longer contains this entry, after all subscribers
+   * of the view were notified; otherwise to `stopped` after the signal or `leave`.
    */
   run(signal: AbortSignal): Promise<'stopped' | 'removed'> {
-    this.task = this.serve(signal);
+    this.task = this.runLoop(signal);
     return this.task;
   }
 
   /**
-   * Leaves the view and ends the lease, in a bounded number of tries. In good
-   * order means that no job is open here and the others have all records.
+   * Leaves the view and revokes the lease, with a bounded number of attempts.
+   * `isGraceful`: no job is open here and the other entries have all its records.
    */
-  async leave(inGoodOrder = false): Promise<void> {
+  async leave(isGraceful = false): Promise<void> {
     const { incarnation } = this.options.self;
-    this.leaving = true;
-    this.end();
+    this.isLeaving = true;
+    this.stop();
     await this.task;
-    await this.changeView(
-      async (view) => (this.isIn(view) ? without(view, new Set([incarnation])) : undefined),
-      inGoodOrder ? [incarnation] : [],
+    await this.updateView(
+      async (view) =>
+        this.isMemberOf(view) ? membersWithout(view, new Set([incarnation])) : undefined,
+      isGraceful ? [incarnation] : [],
     );
-    const revoked = await this.lease.revoke();
-    if (revoked.isErr()) await this.lease.revoke();
+    const revoked = await this.leasedKey.revoke();
+    if (revoked.isErr()) await this.leasedKey.revoke();
   }
 
-  private async serve(signal: AbortSignal): Promise<'stopped' | 'removed'> {
-    const end = (): void => this.end();
-    signal.addEventListener('abort', end, { once: true });
-    if (signal.aborted) this.end();
-    while (!this.ending.signal.aborted && !this.removed) {
-      this.waker = new AbortController();
-      await this.turn();
-      if (this.ending.signal.aborted || this.removed) break;
-      await this.options.timer.sleep(this.untilNextTurn(), this.waker.signal);
+  private async runLoop(signal: AbortSignal): Promise<'stopped' | 'removed'> {
+    const stop = (): void => this.stop();
+    signal.addEventListener('abort', stop, { once: true });
+    if (signal.aborted) this.stop();
+    while (!this.stopController.signal.aborted && !this.isRemoved) {
+      this.wakeController = new AbortController();
+      await this.runOnce();
+      if (this.stopController.signal.aborted || this.isRemoved) break;
+      await this.options.timer.sleep(this.msUntilNextRun(), this.wakeController.signal);
     }
-    signal.removeEventListener('abort', end);
-    return this.removed && !this.leaving ? 'removed' : 'stopped';
+    signal.removeEventListener('abort', stop);
+    return this.isRemoved && !this.isLeaving ? 'removed' : 'stopped';
   }
 
-  private async turn(): Promise<void> {
-    if (this.options.timer.now() >= this.dueAt) await this.stay();
-    if (this.confirmed && !this.removed) await this.removeLapsed();
+  private async runOnce(): Promise<void> {
+    if (this.options.timer.now() >= this.renewAt) await this.renewLease();
+    if (this.isInStoredView && !this.isRemoved) await this.removeExpired();
   }
 
-  /** Keeps the lease, and after each new one makes sure that the view names this entry. */
-  private async stay(): Promise<void> {
-    const kept = await this.lease.renew();
-    this.options.onLeaseRenewal?.(kept.isOk());
-    if (kept.isOk() && kept.value === 'written') this.confirmed = false;
-    if (kept.isOk() && !this.confirmed && !this.ending.signal.aborted) await this.join();
-    const settled = kept.isOk() && this.confirmed;
-    if (settled) this.retries.reset();
-    const delayMs = settled ? this.options.leaseMs / 3 : this.retries.next();
-    this.dueAt = this.options.timer.now() + delayMs;
+  /** Renews the lease. After each newly granted lease, makes sure that the view contains this entry. */
+  private async renewLease(): Promise<void> {
+    const renewal = await this.leasedKey.renew();
+    this.options.onLeaseRenewal?.(renewal.isOk());
+    if (renewal.isOk() && renewal.value === 'written') this.isInStoredView = false;
+    if (renewal.isOk() && !this.isInStoredView && !this.stopController.signal.aborted)
+      await this.join();
+    const isSettled = renewal.isOk() && this.isInStoredView;
+    if (isSettled) this.retryBackoff.reset();
+    const delayMs = isSettled ? this.options.leaseMs / 3 : this.retryBackoff.next();
+    this.renewAt = this.options.timer.now() + delayMs;
   }
 
   private async join(): Promise<void> {
     const { self } = this.options;
-    const view = await this.changeView(async (stored) => {
-      if (this.isIn(stored) || this.removed || this.leaving) return undefined;
+    const view = await this.updateView(async (stored) => {
+      if (this.isMemberOf(stored) || this.isRemoved || this.isLeaving) return undefined;
       return [...stored.members.filter(({ instance }) => instance !== self.instance), self];
     });
-    this.confirmed = view !== undefined && this.isIn(view);
+    this.isInStoredView = view !== undefined && this.isMemberOf(view);
   }
 
-  private async removeLapsed(): Promise<void> {
+  private async removeExpired(): Promise<void> {
     const { views, timer, random } = this.options;
     const suspects = this.suspects(views.current);
     if (suspects.length === 0) {
       this.proposeAt = undefined;
-      this.removals.reset();
+      this.removalBackoff.reset();
       return;
     }
     this.proposeAt ??=
-      timer.now() + this.rank(suspects) * STAGGER_MS + random.jitter(STAGGER_MS / 2);
+      timer.now() +
+      this.rank(suspects) * PROPOSAL_STAGGER_MS +
+      random.jitter(PROPOSAL_STAGGER_MS / 2);
     if (timer.now() < this.proposeAt) return;
-    await this.changeView(async (view) => {
-      if (!this.isIn(view)) return undefined;
-      const gone = await this.lapsed(view);
-      return gone.size > 0 ? without(view, gone) : undefined;
+    await this.updateView(async (view) => {
+      if (!this.isMemberOf(view)) return undefined;
+      const expired = await this.confirmExpired(view);
+      return expired.size > 0 ? membersWithout(view, expired) : undefined;
     });
-    this.proposeAt = timer.now() + this.removals.next();
+    this.proposeAt = timer.now() + this.removalBackoff.next();
   }
 
-  /** Members that this entry suspects and whose lease keys it saw end. */
+  /** Members that this entry suspects and whose lease keys are not in the store as last reported. */
   private suspects(view: View): readonly Member[] {
-    return this.missing(view).filter(({ incarnation }) => this.options.isSuspected(incarnation));
+    return this.membersWithoutLease(view).filter(({ incarnation }) =>
+      this.options.isSuspected(incarnation),
+    );
   }
 
-  private missing(view: View): readonly Member[] {
-    const { present } = this;
-    if (!present) return [];
+  private membersWithoutLease(view: View): readonly Member[] {
+    const { liveIncarnations } = this;
+    if (!liveIncarnations) return [];
     return view.members.filter(
       ({ incarnation }) =>
-        incarnation !== this.options.self.incarnation && !present.has(incarnation),
+        incarnation !== this.options.self.incarnation && !liveIncarnations.has(incarnation),
     );
   }
 
-  /** The suspects whose lease keys the store, asked again, does not hold. */
-  private async lapsed(view: View): Promise<ReadonlySet<string>> {
+  /** The suspects whose lease keys are still missing when read from the store again. */
+  private async confirmExpired(view: View): Promise<ReadonlySet<string>> {
     const { store, isSuspected } = this.options;
-    const gone = new Set<string>();
+    const expired = new Set<string>();
     await Promise.all(
       this.suspects(view).map(async ({ incarnation }) => {
-        const key = await store.get(storeKeys.entries + incarnation);
-        if (key.isOk() && key.value === undefined) gone.add(incarnation);
+        const leaseKey = await store.get(storeKeys.entries + incarnation);
+        if (leaseKey.isOk() && leaseKey.value === undefined) expired.add(incarnation);
       }),
     );
-    return new Set([...gone].filter(isSuspected));
+    return new Set([...expired].filter(isSuspected));
   }
 
   private rank(suspects: readonly Member[]): number {
@@ -225,11 +238,11 @@
   }
 
   /**
-   * Changes the stored view to the members that `decide` returns for it, if
-   * any, and returns the view that the store then holds, if that is known.
+   * Replaces the stored view by one with the members that `chooseMembers` returns, unless it
+   * returns none. Returns the view that the store holds afterwards, if that is known.
    */
-  private async changeView(
-    decide: (view: View) => Promise<readonly Member[] | undefined>,
+  private async updateView(
+    chooseMembers: (view: View) => Promise<readonly Member[] | undefined>,
     departed: readonly string[] = [],
   ): Promise<View | undefined> {
     const { store, timer, random, retentionMs } = this.options;
@@ -238,25 +251,28 @@
       timer,
       random,
       key: storeKeys.view,
-      maxAttempts: CHANGE_ATTEMPTS,
-      signal: this.leaving ? undefined : this.ending.signal,
+      maxAttempts: MAX_UPDATE_ATTEMPTS,
+      signal: this.isLeaving ? undefined : this.stopController.signal,
       computeValue: async (item) => {
-        const view = this.stored(item);
-        const members = view && (await decide(view));
+        const view = this.adoptStored(item);
+        const members = view && (await chooseMembers(view));
         if (!members) return undefined;
-        const keepMs = retentionMs() + PAST_MARGIN_MS;
-        return toJsonString(ViewSchema, nextView(view, members, timer.wall(), keepMs, departed));
+        const previousViewsMs = retentionMs() + PREVIOUS_VIEW_MARGIN_MS;
+        return toJsonString(
+          ViewSchema,
+          nextView(view, members, timer.wall(), previousViewsMs, departed),
+        );
       },
     });
-    return result.isOk() ? this.stored(result.value) : undefined;
+    return result.isOk() ? this.adoptStored(result.value) : undefined;
   }
 
   /**
-   * The view as the store holds it, which is adopted. Undefined when it cannot
-   * be read or is older than one already known: a store that lost a view is
-   * not written to.
+   * Parses and adopts the stored view. Undefined if it cannot be parsed or is
+   * older than a view already known: nothing is written to a store that has
+   * lost a view.
    */
-  private stored(item: StoreItem | undefined): View | undefined {
+  private adoptStored(item: StoreItem | undefined): View | undefined {
     const { views } = this.options;
     if (!item) return views.number === 0n ? views.current : undefined;
     const view = parseView(item.value).unwrapOr(undefined);
@@ -265,43 +281,43 @@
     return view.number === views.number ? view : undefined;
   }
 
-  private meet(view: View): void {
+  private handleView(view: View): void {
     const { incarnation } = this.options.self;
-    if (this.isIn(view)) {
+    if (this.isMemberOf(view)) {
       this.wasMember = true;
     } else if (
       this.wasMember ||
       view.past.some((past) => past.incarnations.includes(incarnation))
     ) {
-      this.removed = true;
+      this.isRemoved = true;
     }
     this.wake();
   }
 
-  private isIn(view: View): boolean {
+  private isMemberOf(view: View): boolean {
     return isMember(view, this.options.self.incarnation);
   }
 
-  private untilNextTurn(): number {
+  private msUntilNextRun(): number {
     const { timer, views } = this.options;
     const now = timer.now();
-    const times = [this.dueAt];
-    if (this.confirmed && this.missing(views.current).length > 0) {
+    const times = [this.renewAt];
+    if (this.isInStoredView && this.membersWithoutLease(views.current).length > 0) {
       times.push(this.proposeAt ?? now + SUSPICION_POLL_MS);
     }
     return Math.max(1, Math.min(...times) - now);
   }
 
-  private end(): void {
-    this.ending.abort();
+  private stop(): void {
+    this.stopController.abort();
     this.wake();
   }
 
   private wake(): void {
-    this.waker.abort();
+    this.wakeController.abort();
   }
 }
 
-function without(view: View, incarnations: ReadonlySet<string>): readonly Member[] {
+function membersWithout(view: View, incarnations: ReadonlySet<string>): readonly Member[] {
   return view.members.filter(({ incarnation }) => !incarnations.has(incarnation));
 }
--- a/src/membership/MembershipOptions.ts
+++ b/src/membership/MembershipOptions.ts
@@ -4,21 +4,21 @@
 import type { Member, View } from '../gen/magnoliakeel/v1/peer_pb';
 import type Store from '../store/Store';
 
-/** What the membership of one entry works with. */
+/** Dependencies and settings of the membership of one entry. */
 export default interface MembershipOptions {
   readonly store: Store;
   readonly timer: TimerService;
   readonly random: Random;
-  /** This entry as the view names it. */
+  /** This entry as a member of the view. */
   readonly self: Member;
-  /** The newest view, shared with the rest of the entry. */
+  /** The newest known view, shared with the rest of the entry. */
   readonly views: Versioned<View>;
-  /** Whether the entry has not heard from an incarnation for a while. */
+  /** Whether the failure detector suspects an incarnation: no message from it for some time. */
   readonly isSuspected: (incarnation: string) => boolean;
-  /** How long job records are kept, in milliseconds; past views are kept a little longer. */
+  /** How long job records are kept, in milliseconds; previous views are kept a little longer. */
   readonly retentionMs: () => number;
-  /** Told after each renewal of the lease whether the store answered. */
+  /** Called after each renewal of the lease with whether the store answered. */
   readonly onLeaseRenewal?: (isAnswered: boolean) => void;
-  /** The lease's time to live; it is renewed every third of it. */
+  /** The lease's time to live in milliseconds; it is renewed after each third of this time. */
   readonly leaseMs: number;
 }
--- a/src/membership/PrefixWatcher.ts
+++ b/src/membership/PrefixWatcher.ts
@@ -12,61 +12,69 @@
   readonly store: WatchableStore;
   readonly log: EventLog;
   readonly prefix: string;
-  /** Told of each key with its value, as it stands at first and as it changes. */
+  /** Called for each key with its value, for those listed at first and after each change. */
   readonly onPut: (key: string, value: string) => void;
-  /** Told of each key that was there and is no longer. */
+  /** Called for each key that was deleted. */
   readonly onDelete?: (key: string) => void;
-  /** Told once all changes up to a revision of the store were passed on. */
+  /** Called when all changes up to a store revision were passed to `onPut` and `onDelete`. */
   readonly onRevision?: (revision: number) => void;
 }
 
-/** Follows the keys under a prefix: a list, then watches that wait, and a list again after any gap. */
+/**
+ * Watches the keys under a prefix: lists them, then long-polls for changes, and lists again when the history
+ * is compacted.
+ */
 export default class PrefixWatcher {
   private revision: number | undefined;
 
-  private isLost = false;
+  private isUnreachable = false;
 
-  /** Keys that are there, as far as was told. */
-  private readonly known = new Set<string>();
+  /** Keys that exist according to the last answer. */
+  private readonly knownKeys = new Set<string>();
 
-  /** Lists that failed since the last one was had. */
+  /** Consecutive failed list calls. */
   private failedLists = 0;
 
   private constructor(private readonly opts: PrefixWatcherOptions) {}
 
-  /** Creates a follower that asks nothing before `run`. */
+  /** Creates a watcher that makes no call before `run`. */
   static of(opts: PrefixWatcherOptions): PrefixWatcher {
     return new PrefixWatcher(opts);
   }
 
-  /** Follows until the signal aborts. */
+  /** Watches until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { timer, random, log, prefix } = this.opts;
-    const backoff = Backoff.of(FIRST_DELAY_MS, LIMIT_DELAY_MS, random);
-    const firstBackoff = Backoff.of(FIRST_DELAY_MS, FIRST_LIST_LIMIT_MS, random);
+    const backoff = Backoff.of(FIRST_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, random);
+    const firstBackoff = Backoff.of(FIRST_RETRY_DELAY_MS, MAX_FIRST_LIST_RETRY_DELAY_MS, random);
     while (!signal.aborted) {
-      const failure = await this.step(signal);
+      const failure = await this.listOrWatch(signal);
       if (failure === undefined) {
         backoff.reset();
-        if (this.isLost) log.info('the store answers again', { prefix, revision: this.revision });
-        this.isLost = false;
+        if (this.isUnreachable)
+          log.info('store reachable again', { prefix, revision: this.revision });
+        this.isUnreachable = false;
       } else if (!signal.aborted) {
-        if (!this.isLost) log.warn('the store is out of reach', { prefix, reason: failure });
-        this.isLost = true;
-        const pauses = this.revision === undefined ? firstBackoff : backoff;
-        await timer.sleep(pauses.next(), signal);
+        if (!this.isUnreachable)
+          log.warn('store unreachable; retrying', { prefix, reason: failure });
+        this.isUnreachable = true;
+        const retryDelays = this.revision === undefined ? firstBackoff : backoff;
+        await timer.sleep(retryDelays.next(), signal);
       }
     }
   }
 
-  /** One call. Returns why it failed, if it did. */
-  private async step(signal: AbortSignal): Promise<string | undefined> {
+  /** Makes one list or watch call and applies its result. Returns the reason if it failed. */
+  private async listOrWatch(signal: AbortSignal): Promise<string | undefined> {
     const { store, prefix, timer } = this.opts;
     const isFirst = this.revision === undefined;
-    // A connection may go silent without a reset, so a watch after a failure comes back sooner.
-    const waitMs = this.isLost ? DOUBTED_WATCH_MS : WATCH_MS;
+    // A dead connection may not be reset, so the first watch after a failure uses a shorter wait.
+    const waitMs = this.isUnreachable ? WATCH_WAIT_AFTER_FAILURE_MS : WATCH_WAIT_MS;
     const res = isFirst
-      ? await store.list(prefix, Math.min(LIST_LIMIT_MS, FIRST_LIST_MS * 2 ** this.failedLists))
+      ? await store.list(
+          prefix,
+          Math.min(MAX_LIST_TIMEOUT_MS, FIRST_LIST_TIMEOUT_MS * 2 ** this.failedLists),
+        )
       : await store.watch(prefix, this.revision!, waitMs, signal);
     if (res.isErr()) {
       if (isFirst) this.failedLists += 1;
@@ -77,56 +85,59 @@
       return res.error.reason;
     }
     this.failedLists = 0;
-    this.takeAll(res.value, isFirst);
-    if (isFirst && res.value.items.length === 0) await timer.sleep(EMPTY_MS, signal);
+    this.applyChanges(res.value, isFirst);
+    if (isFirst && res.value.items.length === 0) await timer.sleep(EMPTY_LIST_DELAY_MS, signal);
     return undefined;
   }
 
-  /** Passes on what has changed; a list does not name the keys that have gone since the last answer. */
-  private takeAll({ items, deleted, revision }: StoreChanges, isList: boolean): void {
-    const { onDelete: removed, onRevision: upTo } = this.opts;
+  /**
+   * Passes the changes to the callbacks. A list does not name deleted keys, so these are found by comparison
+   * with the known ones.
+   */
+  private applyChanges({ items, deleted, revision }: StoreChanges, isList: boolean): void {
+    const { onDelete, onRevision } = this.opts;
     const listed = new Set(items.map(({ key }) => key));
-    const gone = isList ? [...this.known].filter((key) => !listed.has(key)) : deleted;
+    const deletedKeys = isList ? [...this.knownKeys].filter((key) => !listed.has(key)) : deleted;
     this.revision = revision;
-    items.forEach((item) => this.take(item));
-    gone.forEach((key) => {
-      this.known.delete(key);
-      removed?.(key);
+    items.forEach((item) => this.applyItem(item));
+    deletedKeys.forEach((key) => {
+      this.knownKeys.delete(key);
+      onDelete?.(key);
     });
-    upTo?.(revision);
+    onRevision?.(revision);
   }
 
-  /** One value that cannot be taken must not end the following of all later ones. */
-  private take({ key, value }: StoreItem): void {
-    const { log, onPut: put } = this.opts;
-    this.known.add(key);
+  /** Logs an error of the callback: one value that cannot be applied must not end the watch. */
+  private applyItem({ key, value }: StoreItem): void {
+    const { log, onPut } = this.opts;
+    this.knownKeys.add(key);
     try {
-      put(key, value);
+      onPut(key, value);
     } catch (error) {
-      log.warn('a value of the store could not be taken', { key, error });
+      log.warn('could not apply a value from the store', { key, error });
     }
   }
 }
 
-/** Pauses after a failed call, ms: the store's return has to be noticed well within two seconds. */
-const FIRST_DELAY_MS = 100;
-const LIMIT_DELAY_MS = 700;
+/** Delays after a failed call, ms: a store that is available again has to be noticed well within two seconds. */
+const FIRST_RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 700;
 
-/** The same until the first list was had, ms: callers wait for what is in it. */
-const FIRST_LIST_LIMIT_MS = 200;
+/** Longest delay until the first list has succeeded, ms: callers wait for its contents. */
+const MAX_FIRST_LIST_RETRY_DELAY_MS = 200;
 
 /**
- * How long a list is waited for, ms, twice as long after each that failed: a store that was silent answers
- * nothing of before when it is back, and callers wait for the first list of a process. It answers within
- * some milliseconds, and within a few hundred when it is slow. This spares up to a second after a silence
- * that is shorter than that; after a long one it is as with the limit alone.
+ * Time-out of the first list, ms, doubled after each failure up to the limit. A store that was unresponsive
+ * does not answer earlier calls once it is available again, and callers wait for the first list of a process.
+ * The store answers within some milliseconds, or within a few hundred when it is slow. Starting with a short
+ * time-out saves up to a second after an outage shorter than that; after a longer one only the limit counts.
  */
-const FIRST_LIST_MS = 400;
-const LIST_LIMIT_MS = 1_500;
+const FIRST_LIST_TIMEOUT_MS = 400;
+const MAX_LIST_TIMEOUT_MS = 1_500;
 
-/** How long a watch waits. Each call is paid for; a silent connection is noticed after this, ms. */
-const WATCH_MS = 5_000;
-const DOUBTED_WATCH_MS = 1_000;
+/** How long the store holds a watch call open, ms. Calls are metered; a dead connection is noticed after this time. */
+const WATCH_WAIT_MS = 5_000;
+const WATCH_WAIT_AFTER_FAILURE_MS = 1_000;
 
-/** Pause after a first list that is empty, ms. */
-const EMPTY_MS = 100;
+/** Delay after a first list that is empty, ms. */
+const EMPTY_LIST_DELAY_MS = 100;
--- a/src/membership/PresenceKey.ts
+++ b/src/membership/PresenceKey.ts
@@ -11,45 +11,45 @@
   readonly value: string;
 }
 
-/** Keeps a key in the store for as long as this process lives, and writes it anew when it was lost. */
+/** Maintains a leased key in the store while this process runs, and rewrites it after the lease has expired. */
 export default class PresenceKey {
-  private readonly keeper: LeasedKey;
+  private readonly leasedKey: LeasedKey;
 
   private wasWritten = false;
 
   private constructor(private readonly opts: PresenceKeyOptions) {
-    this.keeper = LeasedKey.of(opts.store, opts.key, opts.value, TTL_MS);
+    this.leasedKey = LeasedKey.of(opts.store, opts.key, opts.value, LEASE_TTL_MS);
   }
 
-  /** Creates the key's keeper; nothing is written before `run`. */
+  /** Creates the key; nothing is written before `run`. */
   static of(opts: PresenceKeyOptions): PresenceKey {
     return new PresenceKey(opts);
   }
 
-  /** Keeps the key until the signal aborts, then removes it. */
+  /** Renews the key until the signal aborts, then deletes it. */
   async run(signal: AbortSignal): Promise<void> {
     const { timer } = this.opts;
     while (!signal.aborted) {
-      const kept = await this.keeper.renew();
-      if (kept.isOk() && kept.value === 'written') this.logWritten();
-      await timer.sleep(kept.isOk() ? RENEW_MS : AGAIN_MS, signal);
+      const renewal = await this.leasedKey.renew();
+      if (renewal.isOk() && renewal.value === 'written') this.logWritten();
+      await timer.sleep(renewal.isOk() ? RENEWAL_INTERVAL_MS : RETRY_DELAY_MS, signal);
     }
-    await this.keeper.revoke();
+    await this.leasedKey.revoke();
   }
 
   private logWritten(): void {
     const { log, key } = this.opts;
-    if (this.wasWritten) log.warn('the lease of the key has lapsed', { key });
+    if (this.wasWritten) log.warn('lease expired; the key was written again', { key });
     this.wasWritten = true;
-    log.info('the key is in the store', { key });
+    log.info('key written to the store', { key });
   }
 }
 
-/** Life of the key without a renewal, ms; a few renewals may be missed. */
-const TTL_MS = 8_000;
+/** Lease duration, ms; leaves time for a few missed renewals. */
+const LEASE_TTL_MS = 8_000;
 
-/** Pause between renewals, ms. */
-const RENEW_MS = 2_500;
+/** Time between renewals, ms. */
+const RENEWAL_INTERVAL_MS = 2_500;
 
-/** Pause after a failure, ms: a key has to be back within two seconds of the store's return. */
-const AGAIN_MS = 700;
+/** Delay after a failed call, ms: the key has to be rewritten within two seconds after the store is available again. */
+const RETRY_DELAY_MS = 700;
--- a/src/membership/StoreWatch.ts
+++ b/src/membership/StoreWatch.ts
@@ -8,40 +8,40 @@
 import parseView from './parseView';
 import type StoreWatchOptions from './StoreWatchOptions';
 
-const WAIT_MS = 30_000;
-const FIRST_RETRY_MS = 1_000;
-const RETRY_LIMIT_MS = 30_000;
+const WATCH_WAIT_MS = 30_000;
+const FIRST_RETRY_DELAY_MS = 1_000;
+const MAX_RETRY_DELAY_MS = 30_000;
 
 /**
- * The one waiting watch of a process. It brings new views, configurations and
- * lease keys from the platform's key-value service; after a failure it lists
- * everything once and goes on from there. Nothing older is ever adopted.
+ * The only long-polling watch of a process. It receives new views, configurations
+ * and lease keys from the platform's key-value service. After a failure it lists
+ * all keys once and watches from that revision. An older version is never adopted.
  */
 export default class StoreWatch {
   private readonly backoff: Backoff;
 
-  private readonly readers: ReadonlyMap<string, (value: string) => boolean>;
+  private readonly parsers: ReadonlyMap<string, (value: string) => boolean>;
 
-  private readonly present = new Set<string>();
+  private readonly liveIncarnations = new Set<string>();
 
-  /** The revision that is known; undefined before the first listing and after a failure. */
+  /** The revision reached; undefined before the first list and after a failure. */
   private revision: number | undefined;
 
-  private unread = 0;
+  private unreadableValues = 0;
 
-  /** Ends the watch under way. */
-  private watching = new AbortController();
+  /** Aborts the current watch call. */
+  private watchController = new AbortController();
 
-  /** Ends the rest after a failure. */
-  private resting = new AbortController();
+  /** Aborts the delay after a failure. */
+  private delayController = new AbortController();
 
   private listed = false;
 
   private isFailing = false;
 
   private constructor(private readonly options: StoreWatchOptions) {
-    this.backoff = Backoff.of(FIRST_RETRY_MS, RETRY_LIMIT_MS, options.random);
-    this.readers = new Map([
+    this.backoff = Backoff.of(FIRST_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, options.random);
+    this.parsers = new Map([
       [
         storeKeys.view,
         (value: string) =>
@@ -59,7 +59,7 @@
     ]);
   }
 
-  /** Creates a watch that does not run yet. */
+  /** Creates a watch; it makes no call before `run`. */
   static create(options: StoreWatchOptions): StoreWatch {
     return new StoreWatch(options);
   }
@@ -69,80 +69,82 @@
     return this.revision !== undefined;
   }
 
-  /** Whether the store has told at least once what it holds. */
+  /** Whether the store was listed at least once. */
   get hasListed(): boolean {
     return this.listed;
   }
 
   /**
-   * Takes note of whether another call of this process was answered, since a
-   * watch that waits can't tell: after a failure it is begun anew, and after a
-   * success a rest is over.
+   * Records whether another store call of this process was answered, since a
+   * pending watch can't tell whether its connection works: a failure restarts
+   * the watch, and a success ends the delay after a failure.
    */
   recordCallResult(isAnswered: boolean): void {
-    if (isAnswered) this.resting.abort();
-    else this.watching.abort();
+    if (isAnswered) this.delayController.abort();
+    else this.watchController.abort();
   }
 
-  /** Number of values met that could not be read. They were passed over. */
+  /** Number of values that could not be parsed and were ignored. */
   get unreadableCount(): number {
-    return this.unread;
+    return this.unreadableValues;
   }
 
   /** Watches until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const changes = await this.next(signal);
+      const changes = await this.listOrWatch(signal);
       if (signal.aborted) return;
       if (changes.isOk()) {
         this.backoff.reset();
-        this.reached(undefined);
-        this.take(changes.value);
+        this.reportReachability(undefined);
+        this.applyChanges(changes.value);
         continue;
       }
-      this.reached(changes.error.reason);
+      this.reportReachability(changes.error.reason);
       this.revision = undefined;
-      this.resting = new AbortController();
-      const rest = AbortSignal.any([signal, this.resting.signal]);
-      await this.options.timer.sleep(this.backoff.next(), rest);
+      this.delayController = new AbortController();
+      const delaySignal = AbortSignal.any([signal, this.delayController.signal]);
+      await this.options.timer.sleep(this.backoff.next(), delaySignal);
     }
   }
 
-  private reached(failure: string | undefined): void {
+  private reportReachability(failure: string | undefined): void {
     const isFailing = failure !== undefined;
     if (isFailing !== this.isFailing) this.options.onReachabilityChange?.(failure);
     this.isFailing = isFailing;
   }
 
-  private next(signal: AbortSignal): ResultAsync<StoreChanges, StoreError> {
+  private listOrWatch(signal: AbortSignal): ResultAsync<StoreChanges, StoreError> {
     const { store } = this.options;
     if (this.revision === undefined) return store.list('');
-    this.watching = new AbortController();
-    const end = AbortSignal.any([signal, this.watching.signal]);
-    return store.watch('', this.revision, WAIT_MS, end);
+    this.watchController = new AbortController();
+    const watchSignal = AbortSignal.any([signal, this.watchController.signal]);
+    return store.watch('', this.revision, WATCH_WAIT_MS, watchSignal);
   }
 
-  private take(changes: StoreChanges): void {
-    const isListing = this.revision === undefined;
+  private applyChanges(changes: StoreChanges): void {
+    const isList = this.revision === undefined;
     this.revision = changes.revision;
     this.listed = true;
-    if (isListing) this.present.clear();
-    changes.deleted.filter(isEntry).forEach((key) => this.present.delete(incarnationOf(key)));
-    const arrived = changes.items.filter(({ key }) => isEntry(key));
-    arrived.forEach(({ key }) => this.present.add(incarnationOf(key)));
-    changes.items.forEach((item) => this.read(item));
-    if (isListing || arrived.length > 0 || changes.deleted.some(isEntry)) {
-      this.options.onLiveIncarnations(new Set(this.present));
+    if (isList) this.liveIncarnations.clear();
+    changes.deleted
+      .filter(isLeaseKey)
+      .forEach((key) => this.liveIncarnations.delete(incarnationOf(key)));
+    const putLeases = changes.items.filter(({ key }) => isLeaseKey(key));
+    putLeases.forEach(({ key }) => this.liveIncarnations.add(incarnationOf(key)));
+    changes.items.forEach((item) => this.parseItem(item));
+    if (isList || putLeases.length > 0 || changes.deleted.some(isLeaseKey)) {
+      this.options.onLiveIncarnations(new Set(this.liveIncarnations));
     }
   }
 
-  private read({ key, value }: StoreItem): void {
-    const reader = this.readers.get(key);
-    if (reader && !reader(value)) this.unread += 1;
+  private parseItem({ key, value }: StoreItem): void {
+    const parse = this.parsers.get(key);
+    if (parse && !parse(value)) this.unreadableValues += 1;
   }
 }
 
-function isEntry(key: string): boolean {
+function isLeaseKey(key: string): boolean {
   return key.startsWith(storeKeys.entries);
 }
 
--- a/src/membership/nextView.ts
+++ b/src/membership/nextView.ts
@@ -8,36 +8,40 @@
 } from '../gen/magnoliakeel/v1/peer_pb';
 
 /**
- * The view that follows another one, with new members. The replaced view joins
- * the past ones; those that ended longer than `keepMs` ago are dropped.
- * `departed` are members of the replaced view that left nothing open.
+ * Returns the successor of a view, with new members. The replaced view is added
+ * to the previous views; those that ended more than `retentionMs` ago are dropped.
+ * `departed` are the members of the replaced view that left gracefully, without open jobs.
  */
 export default function nextView(
   view: View,
   members: readonly Member[],
   nowMs: number,
-  keepMs: number,
+  retentionMs: number,
   departed: readonly string[] = [],
 ): View {
   const now = BigInt(Math.floor(nowMs));
-  // Clocks of different entries may differ; a view never ends before it began.
+  // The clocks of entries may differ; a view must not end before it began.
   const sinceMs = now > view.sinceMs ? now : view.sinceMs;
-  const oldest = now - BigInt(Math.ceil(keepMs));
+  const oldest = now - BigInt(Math.ceil(retentionMs));
   return create(ViewSchema, {
     number: view.number + 1n,
     sinceMs,
     members: [...members],
-    past: [...view.past, ...replaced(view, sinceMs, departed)].filter(
+    past: [...view.past, ...previousViewOf(view, sinceMs, departed)].filter(
       ({ untilMs }) => untilMs >= oldest,
     ),
   });
 }
 
-function replaced(view: View, untilMs: bigint, departed: readonly string[]): PastView[] {
+function previousViewOf(view: View, untilMs: bigint, departed: readonly string[]): PastView[] {
   if (view.number === 0n) return [];
   const { number, sinceMs, members } = view;
-  const namesOf = (isLeaving: boolean) =>
+  const incarnationsOf = (isLeaving: boolean) =>
     members.filter((member) => member.leaving === isLeaving).map(({ incarnation }) => incarnation);
-  const names = { incarnations: namesOf(false), leaving: namesOf(true), departed: [...departed] };
-  return [create(PastViewSchema, { number, sinceMs, untilMs, ...names })];
+  const groups = {
+    incarnations: incarnationsOf(false),
+    leaving: incarnationsOf(true),
+    departed: [...departed],
+  };
+  return [create(PastViewSchema, { number, sinceMs, untilMs, ...groups })];
 }
--- a/src/membership/parseConfiguration.ts
+++ b/src/membership/parseConfiguration.ts
@@ -2,12 +2,12 @@
 import { err, ok, Result } from 'neverthrow';
 import { ConfigurationSchema, type Configuration } from '../gen/magnoliakeel/v1/peer_pb';
 
-const parse = Result.fromThrowable((value: string): unknown => JSON.parse(value), String);
+const parseJson = Result.fromThrowable((value: string): unknown => JSON.parse(value), String);
 
-/** Reads the key `manifest` of the store; the error says what is wrong with it. */
+/** Parses the value of the store key `manifest`; the error describes why it is invalid. */
 export default function parseConfiguration(value: string): Result<Configuration, string> {
-  return parse(value).andThen((stored) => {
-    if (!isStored(stored)) return err('a version above 0 and a manifest are missing');
+  return parseJson(value).andThen((stored) => {
+    if (!isStoredManifest(stored)) return err('expected a version above 0 and a manifest');
     return ok(
       create(ConfigurationSchema, {
         version: BigInt(stored.version),
@@ -24,7 +24,7 @@
   readonly retired?: unknown;
 }
 
-function isStored(value: unknown): value is StoredManifest {
+function isStoredManifest(value: unknown): value is StoredManifest {
   if (typeof value !== 'object' || value === null) return false;
   const { version, manifest } = value as Partial<StoredManifest>;
   return Number.isSafeInteger(version) && Number(version) > 0 && isObject(manifest);
--- a/src/membership/storeKeys.ts
+++ b/src/membership/storeKeys.ts
@@ -1,10 +1,10 @@
-/** The keys that entries use in the platform's key-value service. */
+/** Keys and key prefixes of the entries in the platform's key-value service. */
 const storeKeys = {
   view: 'view',
   manifest: 'manifest',
-  /** Replaced manifests, by their versions. */
+  /** Prefix of replaced manifests, followed by the version. */
   history: 'history/',
-  /** Each live entry holds the key of this prefix and its incarnation, under its lease. */
+  /** Prefix of the lease keys, followed by the incarnation of a live entry. */
   entries: 'entries/',
 } as const;
 export default storeKeys;
--- a/src/membership/syncVersions.ts
+++ b/src/membership/syncVersions.ts
@@ -2,8 +2,8 @@
 import type { Configuration, Heartbeat, View } from '../gen/magnoliakeel/v1/peer_pb';
 import type PeerMessage from '../link/PeerMessage';
 
-/** What a process knows of the versions, and its way to a peer. */
-interface Side {
+/** The versions that this process knows, and how it sends to the peer. */
+interface SyncContext {
   readonly views: Versioned<View>;
   readonly configurations: Versioned<Configuration>;
   readonly send: (message: PeerMessage) => void;
@@ -12,12 +12,12 @@
 }
 
 /**
- * Evens out what two linked processes know, after a heartbeat of the other
- * one: it is sent what it lacks. What this one lacks it asks for by a heartbeat
- * of its own, which the other answers in the same way.
+ * Handles the versions in a peer's heartbeat: sends the peer the view and the
+ * configuration if its own are older. If the peer's are newer, it sends a heartbeat,
+ * to which the peer replies with the newer ones in the same way.
  */
 export default function syncVersions(
-  { views, configurations, send, heartbeat }: Side,
+  { views, configurations, send, heartbeat }: SyncContext,
   { viewNumber, configurationVersion }: Heartbeat,
 ): void {
   if (viewNumber < views.number) send({ case: 'view', value: views.current });
--- a/src/peering/DrainedZones.ts
+++ b/src/peering/DrainedZones.ts
@@ -6,27 +6,27 @@
 import type PeerMessage from '../link/PeerMessage';
 
 /**
- * The availability zones that operators have drained: backend servers there get nothing new until the zone is
- * taken back. All of them are named, as the store had them at a revision, so that a later word replaces an
- * earlier one whoever tells it.
+ * The availability zones that operators have drained: backend servers there get no new work until the zone is
+ * enabled again. Always the complete set at a revision of the store, so that a set with a higher revision replaces
+ * one with a lower revision, whichever process sent it.
  */
 export default class DrainedZones {
-  /** What holds before anything was heard of the store. */
+  /** The state before anything was received from the store. */
   static readonly none = new DrainedZones(0n, []);
 
   private constructor(
-    /** The store's revision that this reaches up to. */
+    /** The store's revision at which these zones were drained. */
     readonly revision: bigint,
-    /** Their names, in order. */
+    /** Names of the drained zones, sorted. */
     readonly zones: readonly string[],
   ) {}
 
-  /** The zones that were drained at a revision of the store. */
+  /** Creates the set of zones that were drained at a revision of the store. */
   static of(revision: bigint, zones: Iterable<string>): DrainedZones {
     return new DrainedZones(revision, [...zones].sort());
   }
 
-  /** Reads what another process has told. */
+  /** Converts the message of another process. */
   static fromMessage({ revision, zones }: DrainedZonesMessage): DrainedZones {
     return DrainedZones.of(revision, zones);
   }
@@ -36,12 +36,12 @@
     return this.zones.includes(zone);
   }
 
-  /** Whether the same zones are drained, at whatever revisions. */
+  /** Whether the same zones are drained; the revisions may differ. */
   hasSameZones({ zones }: DrainedZones): boolean {
     return this.zones.length === zones.length && zones.every((zone) => this.has(zone));
   }
 
-  /** The same as a message to another process. */
+  /** The set as a message to another process. */
   get message(): PeerMessage {
     const { revision, zones } = this;
     return {
--- a/src/peering/ENTRIES_PER_SIDECAR.ts
+++ b/src/peering/ENTRIES_PER_SIDECAR.ts
@@ -1,7 +1,8 @@
 /**
- * Entries that each sidecar links to. Links and the heartbeats on them would grow with entries times
- * sidecars; so they grow with the sidecars only. With four, an entry of twelve has a third of all sidecars,
- * enough to find room whenever there is some, and an entry that fails is replaced by the next.
+ * Number of entries that each sidecar links to. If all were linked, links and heartbeats would grow with
+ * entries times sidecars; so they grow with the sidecars only. With four, each of twelve entries is linked to a
+ * third of all sidecars, enough to find free capacity wherever there is some, and a failed entry is replaced by the
+ * next.
  */
 const ENTRIES_PER_SIDECAR = 4;
 
--- a/src/peering/EntrySelector.ts
+++ b/src/peering/EntrySelector.ts
@@ -2,9 +2,9 @@
 import ENTRIES_PER_SIDECAR from './ENTRIES_PER_SIDECAR';
 
 /**
- * Chooses which entries a sidecar links to. By rendezvous hashing each sidecar has an order of its own
- * of all entries, and takes the first few that can be reached: so entries have about equal shares of
- * the sidecars, and when one comes or goes only few links change.
+ * Selects the entries that a sidecar links to, by rendezvous hashing: each sidecar ranks all entries in
+ * an order of its own and selects the first few reachable ones. So each entry has about the same number
+ * of sidecars, and only few links change when an entry joins or leaves.
  */
 export default class EntrySelector {
   private readonly unreachable = new Set<string>();
@@ -15,12 +15,12 @@
     this.seed = murmurhash.v3(instance, 0);
   }
 
-  /** Creates the choice of a sidecar by its name. */
+  /** Creates the selector of a sidecar, whose ranking depends on its instance name. */
   static of(instance: string): EntrySelector {
     return new EntrySelector(instance);
   }
 
-  /** Notes how a dial of an address went; true when that changes what is chosen. */
+  /** Records whether an address was reached by a dial. Returns true if that changes the selection. */
   recordDial(address: string, isReached: boolean): boolean {
     if (isReached) return this.unreachable.delete(address);
     const isNew = !this.unreachable.has(address);
@@ -28,20 +28,20 @@
     return isNew;
   }
 
-  /** Which addresses to keep links to, the one that cannot be reached now included. */
+  /** Returns the addresses to maintain links to, including unreachable ones that rank before the last selected one. */
   select(addresses: Iterable<string>): ReadonlySet<string> {
     const ranked = [...addresses].map((address) => ({
       address,
       weight: murmurhash.v3(address, this.seed),
     }));
     ranked.sort((a, b) => b.weight - a.weight || (a.address < b.address ? -1 : 1));
-    const chosen = new Set<string>();
-    let reachable = 0;
+    const selected = new Set<string>();
+    let reachableCount = 0;
     for (const { address } of ranked) {
-      if (reachable >= ENTRIES_PER_SIDECAR) break;
-      chosen.add(address);
-      if (!this.unreachable.has(address)) reachable += 1;
+      if (reachableCount >= ENTRIES_PER_SIDECAR) break;
+      selected.add(address);
+      if (!this.unreachable.has(address)) reachableCount += 1;
     }
-    return chosen;
+    return selected;
   }
 }
--- a/src/peering/KnownAddresses.ts
+++ b/src/peering/KnownAddresses.ts
@@ -2,63 +2,63 @@
 import type TimerService from '../core/TimerService';
 
 /**
- * The addresses of entries that this process tries to reach: those of its settings for ever, since
- * they may lead to others, and those it was told of as long as somebody repeats them.
+ * The addresses of entries that this process dials: the seed addresses of its settings permanently, since
+ * further entries can be discovered through them, and those received from peers as long as some peer repeats them.
  */
 export default class KnownAddresses {
-  private readonly toldAt = new Map<string, number>();
+  private readonly lastSeenAt = new Map<string, number>();
 
-  private readonly sweep: Subscription;
+  private readonly expirySweep: Subscription;
 
   private constructor(
     private readonly timer: TimerService,
     private readonly seeds: readonly string[],
-    private readonly changed: (addresses: ReadonlySet<string>) => void,
+    private readonly onChange: (addresses: ReadonlySet<string>) => void,
   ) {
-    this.sweep = timer.every(SWEEP_MS, () => this.forgetOld());
+    this.expirySweep = timer.every(SWEEP_INTERVAL_MS, () => this.removeExpired());
   }
 
-  /** Starts with the addresses of the settings; `changed` is told of each change. */
+  /** Starts with the seed addresses; `onChange` is called with all addresses after each change. */
   static create(
     timer: TimerService,
     seeds: readonly string[],
-    changed: (addresses: ReadonlySet<string>) => void,
+    onChange: (addresses: ReadonlySet<string>) => void,
   ): KnownAddresses {
-    return new KnownAddresses(timer, seeds, changed);
+    return new KnownAddresses(timer, seeds, onChange);
   }
 
-  /** All addresses to reach. */
+  /** All addresses to dial. */
   get all(): ReadonlySet<string> {
-    return new Set([...this.seeds, ...this.toldAt.keys()]);
+    return new Set([...this.seeds, ...this.lastSeenAt.keys()]);
   }
 
-  /** Tells `changed` of the addresses as they are. */
+  /** Calls `onChange` with the current addresses. */
   notify(): void {
-    this.changed(this.all);
+    this.onChange(this.all);
   }
 
-  /** Adds addresses, or keeps those already known for longer. */
+  /** Adds addresses, and extends the life of those already known. */
   add(addresses: readonly string[]): void {
     const known = this.all;
-    addresses.forEach((address) => this.toldAt.set(address, this.timer.now()));
+    addresses.forEach((address) => this.lastSeenAt.set(address, this.timer.now()));
     if (addresses.some((address) => !known.has(address))) this.notify();
   }
 
-  /** Forgets nothing any more. */
+  /** Stops expiring addresses. */
   stop(): void {
-    this.sweep.cancel();
+    this.expirySweep.cancel();
   }
 
-  private forgetOld(): void {
-    const before = this.timer.now() - FORGET_MS;
-    const old = [...this.toldAt].filter(([, at]) => at < before);
-    old.forEach(([address]) => this.toldAt.delete(address));
-    if (old.length > 0) this.notify();
+  private removeExpired(): void {
+    const oldest = this.timer.now() - ADDRESS_TTL_MS;
+    const expired = [...this.lastSeenAt].filter(([, at]) => at < oldest);
+    expired.forEach(([address]) => this.lastSeenAt.delete(address));
+    if (expired.length > 0) this.notify();
   }
 }
 
-/** How often old addresses are looked for, ms. */
-const SWEEP_MS = 5_000;
+/** Interval of the check for expired addresses, ms. */
+const SWEEP_INTERVAL_MS = 5_000;
 
-/** An address that nobody has repeated for this long is given up, ms: three rounds of telling are missed. */
-const FORGET_MS = 30_000;
+/** An address that no peer has repeated for this long is removed, ms: three rounds of announcements were missed. */
+const ADDRESS_TTL_MS = 30_000;
--- a/src/peering/LinkManager.ts
+++ b/src/peering/LinkManager.ts
@@ -10,86 +10,90 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly network: Network;
-  /** The first and the highest pause between two dials of an address, ms. */
+  /** First and longest delay between two dials of an address, ms. */
   readonly delays: { readonly firstMs: number; readonly limitMs: number };
   readonly hello: (session: bigint) => Hello;
-  /** Serves a link to its end, and says whether it was of use. */
+  /** Serves a link until it ends. Resolves to whether the link was useful, which resets the back-off. */
   readonly serve: (link: Link) => Promise<boolean>;
-  /** Told of each dial and why it failed, if it did. */
+  /** Called after each dial, with the reason if it failed. */
   readonly onDial?: (address: string, failure: string | undefined) => void;
-  /** Told of an error in serving a link, which is closed; its address is dialled again. */
+  /** Called with an error thrown while serving a link. The link is closed and its address dialled again. */
   readonly onError: (address: string, error: unknown) => void;
 }
 
-/** The one task that keeps a link to an address. */
-interface Upkeep {
+/** The task that maintains the link to one address. */
+interface AddressTask {
   readonly stop: AbortController;
-  /** Cut short when there is news of the address. */
-  nap: AbortController;
+  /** Aborts the delay before the next dial, when the address is requested again. */
+  backoffWait: AbortController;
   ended: Promise<void>;
 }
 
-/** Keeps a link open to each of a set of addresses, which may change at any time. */
+/** Maintains one link to each of a set of addresses, which may change at any time. */
 export default class LinkManager {
-  private readonly upkeeps = new Map<string, Upkeep>();
+  private readonly tasks = new Map<string, AddressTask>();
 
-  private readonly sessions = new Map<string, bigint>();
+  private readonly sessionNumbers = new Map<string, bigint>();
 
   private constructor(private readonly opts: LinkManagerOptions) {}
 
-  /** Creates a keeper that dials nothing before the first `aim`. */
+  /** Creates a manager that dials nothing before the first `setAddresses`. */
   static create(opts: LinkManagerOptions): LinkManager {
     return new LinkManager(opts);
   }
 
-  /** Dials these addresses, at once where there is no link, and drops all others. */
+  /** Replaces the set of addresses: dials those without a link at once, and closes the links to all others. */
   setAddresses(addresses: Iterable<string>): void {
     const wanted = new Set(addresses);
-    this.upkeeps.forEach((upkeep, address) => {
-      if (!wanted.has(address)) halt(upkeep);
+    this.tasks.forEach((task, address) => {
+      if (!wanted.has(address)) stopTask(task);
     });
-    wanted.forEach((address) => this.ensure(address));
+    wanted.forEach((address) => this.ensureTask(address));
   }
 
-  /** Ends all links and resolves when their tasks have ended. */
+  /** Closes all links and resolves when their tasks have ended. */
   async stop(): Promise<void> {
-    this.upkeeps.forEach(halt);
-    await Promise.all([...this.upkeeps.values()].map((upkeep) => upkeep.ended));
+    this.tasks.forEach(stopTask);
+    await Promise.all([...this.tasks.values()].map((task) => task.ended));
   }
 
-  private ensure(address: string): void {
-    const old = this.upkeeps.get(address);
-    if (old && !old.stop.signal.aborted) {
-      old.nap.abort();
+  private ensureTask(address: string): void {
+    const previous = this.tasks.get(address);
+    if (previous && !previous.stop.signal.aborted) {
+      previous.backoffWait.abort();
       return;
     }
-    const upkeep: Upkeep = {
+    const task: AddressTask = {
       stop: new AbortController(),
-      nap: new AbortController(),
+      backoffWait: new AbortController(),
       ended: Promise.resolve(),
     };
-    this.upkeeps.set(address, upkeep);
-    upkeep.ended = this.keepLinked(address, upkeep, old?.ended);
+    this.tasks.set(address, task);
+    task.ended = this.maintainLink(address, task, previous?.ended);
   }
 
-  private async keepLinked(address: string, upkeep: Upkeep, before?: Promise<void>): Promise<void> {
+  private async maintainLink(
+    address: string,
+    task: AddressTask,
+    previous?: Promise<void>,
+  ): Promise<void> {
     const { random, timer, delays } = this.opts;
     const backoff = Backoff.of(delays.firstMs, delays.limitMs, random);
-    await before;
-    while (!upkeep.stop.signal.aborted) {
-      if (await this.dial(address, upkeep.stop.signal)) backoff.reset();
-      if (upkeep.stop.signal.aborted) return;
+    await previous;
+    while (!task.stop.signal.aborted) {
+      if (await this.runLink(address, task.stop.signal)) backoff.reset();
+      if (task.stop.signal.aborted) return;
 
-      upkeep.nap = new AbortController();
-      await timer.sleep(backoff.next(), upkeep.nap.signal);
+      task.backoffWait = new AbortController();
+      await timer.sleep(backoff.next(), task.backoffWait.signal);
     }
   }
 
-  /** One link from its dial to its end; says whether it was of use. */
-  private async dial(address: string, stop: AbortSignal): Promise<boolean> {
-    const session = (this.sessions.get(address) ?? 0n) + 1n;
-    this.sessions.set(address, session);
-    const res = await this.open(address, session);
+  /** Dials an address and serves the link until it ends. Returns whether the link was useful. */
+  private async runLink(address: string, stop: AbortSignal): Promise<boolean> {
+    const session = (this.sessionNumbers.get(address) ?? 0n) + 1n;
+    this.sessionNumbers.set(address, session);
+    const res = await this.dial(address, session);
     this.opts.onDial?.(address, res.isErr() ? res.error : undefined);
     if (res.isErr()) return false;
     const link = res.value;
@@ -101,8 +105,8 @@
     return isUseful;
   }
 
-  /** The error says why there is no link, also where a peer told an address that is none. */
-  private async open(address: string, session: bigint): Promise<Result<Link, string>> {
+  /** Dials an address. An address received from a peer may be invalid, so thrown errors are returned as well. */
+  private async dial(address: string, session: bigint): Promise<Result<Link, string>> {
     const { network, hello } = this.opts;
     try {
       return (await network.dial(address, hello(session))).mapErr(({ reason }) => reason);
@@ -111,7 +115,7 @@
     }
   }
 
-  /** Whatever fails in one link, the others go on. */
+  /** Serves a link. An error is reported and closes this link only. */
   private async serve(address: string, link: Link): Promise<boolean> {
     try {
       return await this.opts.serve(link);
@@ -123,7 +127,7 @@
   }
 }
 
-function halt(upkeep: Upkeep): void {
-  upkeep.stop.abort();
-  upkeep.nap.abort();
+function stopTask(task: AddressTask): void {
+  task.stop.abort();
+  task.backoffWait.abort();
 }
--- a/src/peering/PauseDetector.ts
+++ b/src/peering/PauseDetector.ts
@@ -3,53 +3,56 @@
 import pulseTimings from './pulseTimings';
 
 /**
- * Notices that this process did not run for a while: by a gap in the steady clock, or, since that
- * clock stands still while a machine is suspended, by a jump between it and the wall clock. A jump
- * may also be a wall clock that was set; both count, since what waits in the sockets may be old.
+ * Detects that this process was paused: by a jump of the monotonic clock, or, since that clock stops
+ * while a machine is suspended, by a difference between its progress and that of the wall clock. The
+ * difference may also mean that the wall clock was set. Both count as a pause, since the messages in
+ * the socket buffers may be old.
  *
- * It looks at intervals and whenever it is asked, because what had arrived is handled before the
- * timers are.
+ * It checks at intervals and on request, because Node handles messages that have arrived before timers.
  */
 export default class PauseDetector {
-  private steadyAt: number;
+  private lastMonotonicMs: number;
 
-  private wallAt: number;
+  private lastWallMs: number;
 
-  private watching: Subscription | undefined;
+  private subscription: Subscription | undefined;
 
   private constructor(
     private readonly timer: TimerService,
-    private readonly noticed: (gapMs: number) => void,
+    private readonly onPause: (pauseMs: number) => void,
   ) {
-    this.steadyAt = timer.now();
-    this.wallAt = timer.wall();
+    this.lastMonotonicMs = timer.now();
+    this.lastWallMs = timer.wall();
   }
 
-  /** Starts to watch; `noticed` is told the length of each gap, which is too long by an interval at most; all in ms. */
+  /**
+   * Starts the checks. `onPause` is called with the length of each pause, which is at most one interval too
+   * long; all in ms.
+   */
   static start(
     timer: TimerService,
     intervalMs: number,
-    noticed: (gapMs: number) => void,
+    onPause: (pauseMs: number) => void,
   ): PauseDetector {
-    const watch = new PauseDetector(timer, noticed);
-    watch.watching = timer.every(intervalMs, () => watch.check());
-    return watch;
+    const detector = new PauseDetector(timer, onPause);
+    detector.subscription = timer.every(intervalMs, () => detector.check());
+    return detector;
   }
 
-  /** Looks now; to be called before acting on what a peer or a caller has sent. */
+  /** Checks now; to be called before acting on what a peer or a caller has sent. */
   check(): void {
-    const steady = this.timer.now();
-    const wall = this.timer.wall();
-    const steadyGap = steady - this.steadyAt;
-    const jump = Math.abs(wall - this.wallAt - steadyGap);
-    this.steadyAt = steady;
-    this.wallAt = wall;
-    const gap = Math.max(steadyGap, jump);
-    if (gap >= pulseTimings.gapMs) this.noticed(Math.round(gap));
+    const monotonicMs = this.timer.now();
+    const wallMs = this.timer.wall();
+    const elapsedMs = monotonicMs - this.lastMonotonicMs;
+    const divergenceMs = Math.abs(wallMs - this.lastWallMs - elapsedMs);
+    this.lastMonotonicMs = monotonicMs;
+    this.lastWallMs = wallMs;
+    const pauseMs = Math.max(elapsedMs, divergenceMs);
+    if (pauseMs >= pulseTimings.gapMs) this.onPause(Math.round(pauseMs));
   }
 
-  /** Ends the watch. */
+  /** Stops the checks. */
   stop(): void {
-    this.watching?.cancel();
+    this.subscription?.cancel();
   }
 }
--- a/src/peering/pulseTimings.ts
+++ b/src/peering/pulseTimings.ts
@@ -1,40 +1,41 @@
-/** How an entry and a sidecar confirm to each other that both are awake, in milliseconds. */
+/** Timings with which an entry and a sidecar confirm to each other that both are alive, in milliseconds. */
 const pulseTimings = {
   /**
-   * How often a sidecar asks each entry whether it is awake; each answer confirms both directions, and
-   * silence shows a dead connection. All entries are asked in one turn, since each time that a process
-   * wakes costs more than a message.
+   * How often a sidecar sends a pulse to each entry. Each answer confirms both directions, and a missing
+   * one reveals a dead connection. All entries get their pulse in one turn of the event loop, since each
+   * wake-up of a process costs more than a message.
    */
   intervalMs: 350,
   /**
-   * How long runs go on without confirmation that their entry is awake. A caller that lost its entry
-   * submits again to another after 1,300 ms at the earliest; by then the runs have to be over, and
-   * killing them takes some 100 ms. Apart from that it is long: an entry that is only busy may be late
-   * by this less an interval before what it has ordered is thrown away.
+   * How long runs continue without confirmation that their entry is alive. A caller that lost its entry
+   * resubmits to another after 1,300 ms at the earliest; by then the runs have to have ended, and
+   * killing them takes some 100 ms. Apart from that the time is long: an entry that is only busy may lag
+   * by this time less one interval before the runs that it has dispatched are discarded.
    */
   ownerSilenceMs: 900,
   /**
-   * How old the newest confirmation of an entry may be while a lease on its runs is as long as ever; from then on the
-   * lease ends no later. A run that cannot be stopped is so over when callers return, and others beside it
-   * have 300 ms left for the stop to be proven.
+   * Up to this age of the newest confirmation of an entry, the lease on its runs is renewed in full; beyond it the
+   * end of the lease is no longer moved. So a run that cannot be stopped has ended when callers resubmit, and other
+   * runs on the same backend server have 300 ms left for the stop to be confirmed.
    */
   prolongMs: 400,
   /**
-   * After this long without a word of a sidecar an entry gives it no more tasks: one interval, and what a
-   * busy process may be late. Being wrong costs nothing while others have room; each task ordered from a
-   * sidecar that is cut off makes its whole batch late.
+   * After this long without a message from a sidecar an entry dispatches no more tasks to it: one interval
+   * plus the lag of a busy process. A wrong suspicion costs nothing while others have free capacity; each task
+   * dispatched to an isolated sidecar delays its whole batch.
    */
   suspectMs: 500,
   /** After this long without a sidecar's pulse an entry closes the link. */
   closeMs: 1_500,
   /**
-   * How often a process looks whether it was held up. What it was idle before counts as held up too. An entry
-   * gives up what it has taken and wakes as often for its lateness; a sidecar only asks.
+   * How often a process checks whether it was paused. The idle time before a pause counts as part of it. An entry
+   * gives up the batches that it has accepted, and wakes as often to measure its lag anyway; a sidecar only asks
+   * its entries.
    */
   watchIntervalMs: { entry: 100, sidecar: 400 },
   /**
-   * A gap in this process's own time, or between its two clocks, after which callers may have turned to
-   * other entries: they do after 1,300 ms. A busy process may well be late by half a second.
+   * A pause of this process, or a difference between its two clocks, after which callers may have turned to
+   * other entries: they do after 1,300 ms. A busy process may lag by half a second without a pause.
    */
   gapMs: 800,
 } as const;
--- a/src/peering/readMessages.ts
+++ b/src/peering/readMessages.ts
@@ -4,21 +4,21 @@
 interface ReadMessagesOptions {
   /** Handles one message. */
   readonly onMessage: (message: PeerMessage) => void;
-  /** Told of a message that could not be handled; the link goes on with the next. */
+  /** Called with a message whose handler threw an error; the next message is handled as usual. */
   readonly onError: (message: PeerMessage, error: unknown) => void;
 }
 
-/** Reads a link's messages to its end, one after the other. */
+/** Handles the messages of a link one after the other until it ends, then closes it. */
 export default async function readMessages(
   link: Link,
-  { onMessage: handle, onError: failed }: ReadMessagesOptions,
+  { onMessage, onError }: ReadMessagesOptions,
 ): Promise<void> {
   for await (const message of link.messages()) {
     if (link.closed.aborted) break;
     try {
-      handle(message);
+      onMessage(message);
     } catch (error) {
-      failed(message, error);
+      onError(message, error);
     }
   }
   link.close();
--- a/src/peering/ringSuccessors.ts
+++ b/src/peering/ringSuccessors.ts
@@ -1,6 +1,7 @@
 /**
- * The names that follow one's own when all are in a ring, at most `count`. Where each tells those after it,
- * everybody hears of everything, and the messages grow with the processes and not with their square.
+ * Returns at most `count` names that follow `own` when all names are sorted into a ring. If each process forwards
+ * to its successors, every process receives everything, and the number of messages grows linearly with the
+ * processes instead of quadratically.
  */
 export default function ringSuccessors(
   own: string,
--- a/src/store/HttpStore.ts
+++ b/src/store/HttpStore.ts
@@ -8,25 +8,28 @@
 import type StoreItem from './StoreItem';
 import TokenBucket from './TokenBucket';
 
-const CONNECTIONS = 8;
+const MAX_CONNECTIONS = 8;
 
-const KINDS: Readonly<Record<number, StoreError['kind']>> = { 409: 'conflict', 410: 'leaseGone' };
+const ERROR_KINDS: Readonly<Record<number, StoreError['kind']>> = {
+  409: 'conflict',
+  410: 'leaseGone',
+};
 
 /**
- * The platform's key-value service over HTTP with JSON bodies. Every failure
- * without a clear answer is `unavailable`: a write may have taken effect, and
+ * Client of the platform's key-value service: HTTP with JSON bodies. Every failure
+ * without a definite answer is `unavailable`: a write may have taken effect, or
  * may still take effect later.
  */
 export default class HttpStore implements Store {
   private readonly pool: Pool;
 
-  private readonly bucket: TokenBucket;
+  private readonly rateLimiter: TokenBucket;
 
   private constructor(private readonly options: HttpStoreOptions) {
-    // Timeouts come from the timer service, not from the pool.
+    // Time-outs are enforced with the timer service, so those of the pool are disabled.
     const { url, timer, callsPerSecond } = options;
-    this.pool = new Pool(url, { connections: CONNECTIONS, headersTimeout: 0, bodyTimeout: 0 });
-    this.bucket = TokenBucket.of(timer, callsPerSecond);
+    this.pool = new Pool(url, { connections: MAX_CONNECTIONS, headersTimeout: 0, bodyTimeout: 0 });
+    this.rateLimiter = TokenBucket.of(timer, callsPerSecond);
   }
 
   /** Creates the client; it connects with the first call. */
@@ -34,13 +37,17 @@
     return new HttpStore(options);
   }
 
-  /** Breaks all connections; calls under way end as `unavailable`. */
+  /** Closes all connections; pending calls fail as `unavailable`. */
   async close(): Promise<void> {
     await this.pool.destroy();
   }
 
   get(key: string): ResultAsync<StoreItem | undefined, StoreError> {
-    return this.call<StoreItem | undefined>({ method: 'GET', path: keyPath(key), absent: true });
+    return this.call<StoreItem | undefined>({
+      method: 'GET',
+      path: keyPath(key),
+      allowsMissing: true,
+    });
   }
 
   list(prefix: string): ResultAsync<StoreChanges, StoreError> {
@@ -86,29 +93,29 @@
   }
 
   private call<T>(call: Call): ResultAsync<T, StoreError> {
-    return new ResultAsync(this.limited(call));
+    return new ResultAsync(this.callWithinRate(call));
   }
 
-  private async limited<T>(call: Call): Promise<Result<T, StoreError>> {
+  private async callWithinRate<T>(call: Call): Promise<Result<T, StoreError>> {
     const { timer, timeoutMs } = this.options;
-    const delayMs = this.bucket.take(timeoutMs);
+    const delayMs = this.rateLimiter.take(timeoutMs);
     if (delayMs === undefined)
       return err(unavailable('the call rate is used up; nothing was sent'));
     if (delayMs > 0) await timer.sleep(delayMs, call.signal);
     if (call.signal?.aborted) return err(unavailable('aborted'));
-    return this.timed(call);
+    return this.callWithTimeout(call);
   }
 
-  private async timed<T>(call: Call): Promise<Result<T, StoreError>> {
+  private async callWithTimeout<T>(call: Call): Promise<Result<T, StoreError>> {
     const { timer, timeoutMs } = this.options;
-    const limit = new AbortController();
-    const abort = (): void => limit.abort(new Error('aborted'));
+    const timeoutController = new AbortController();
+    const abort = (): void => timeoutController.abort(new Error('aborted'));
     const timeout = timer.after(timeoutMs + (call.waitMs ?? 0), () =>
-      limit.abort(new Error('timeout')),
+      timeoutController.abort(new Error('timeout')),
     );
     call.signal?.addEventListener('abort', abort, { once: true });
     try {
-      return await this.send<T>(call, limit.signal);
+      return await this.send<T>(call, timeoutController.signal);
     } catch (cause) {
       return err(unavailable(cause instanceof Error ? cause.message : String(cause)));
     } finally {
@@ -127,8 +134,8 @@
     });
     const answer = await body.text();
     if (statusCode === 200) return ok(JSON.parse(answer) as T);
-    if (statusCode === 404 && call.absent) return ok(undefined as T);
-    const kind = KINDS[statusCode] ?? 'unavailable';
+    if (statusCode === 404 && call.allowsMissing) return ok(undefined as T);
+    const kind = ERROR_KINDS[statusCode] ?? 'unavailable';
     return err({ kind, reason: `status ${statusCode}: ${answer}` });
   }
 }
@@ -137,9 +144,9 @@
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
   readonly body?: unknown;
-  /** A missing key is an answer, not an error. */
-  readonly absent?: boolean;
-  /** How long the service itself waits before it answers. */
+  /** A missing key (status 404) is a result, not an error. */
+  readonly allowsMissing?: boolean;
+  /** How long the service may hold the call open before it answers, ms; added to the time-out. */
   readonly waitMs?: number;
   readonly signal?: AbortSignal;
 }
--- a/src/store/HttpStoreOptions.ts
+++ b/src/store/HttpStoreOptions.ts
@@ -1,14 +1,14 @@
 import type TimerService from '../core/TimerService';
 
-/** How a process reaches the platform's key-value service. */
+/** How a process connects to the platform's key-value service. */
 export default interface HttpStoreOptions {
   /** Base address, `http://ip:port`. */
   readonly url: string;
   /** The name under which the service counts this process's calls. */
   readonly client: string;
   readonly timer: TimerService;
-  /** The highest rate of calls of this process, waiting watches included. */
+  /** Highest rate of calls of this process, long-polling watches included. */
   readonly callsPerSecond: number;
-  /** How long a call may take; a watch may take its own wait besides. */
+  /** Time-out of a call, ms; the wait time of a watch is added to it. */
   readonly timeoutMs: number;
 }
--- a/src/store/Store.ts
+++ b/src/store/Store.ts
@@ -5,8 +5,8 @@
 import type StoreItem from './StoreItem';
 
 /**
- * The platform's key-value service as this system uses it. Every method is one
- * counted call; a waiting watch counts as one.
+ * The platform's key-value service as this system uses it. Every method call counts
+ * as one metered call of the service, a long-polling watch as well.
  */
 export default interface Store {
   get(key: string): ResultAsync<StoreItem | undefined, StoreError>;
@@ -16,18 +16,18 @@
   /** Writes a key and returns its new revision. */
   put(key: string, value: string, options?: PutOptions): ResultAsync<number, StoreError>;
 
-  /** Deletes a key, where `expectRevision` is given only at that revision. */
+  /** Deletes a key. If `expectRevision` is given, the key is deleted only at that revision. */
   remove(key: string, expectRevision?: number): ResultAsync<void, StoreError>;
 
-  /** Opens a lease and returns its id. */
+  /** Grants a lease and returns its id. */
   grantLease(ttlMs: number): ResultAsync<string, StoreError>;
 
   renewLease(lease: string): ResultAsync<void, StoreError>;
 
-  /** Ends a lease and deletes its keys. */
+  /** Revokes a lease and deletes its keys. */
   revokeLease(lease: string): ResultAsync<void, StoreError>;
 
-  /** Waits for changes under the prefix after a revision; returns without any once the wait is over. */
+  /** Long-polls for changes under the prefix after a revision; returns no changes if there are none within `waitMs`. */
   watch(
     prefix: string,
     afterRevision: number,
--- a/src/store/StoreChanges.ts
+++ b/src/store/StoreChanges.ts
@@ -1,10 +1,10 @@
 import type StoreItem from './StoreItem';
 
-/** Keys under a prefix, as they stand or as they changed since a revision. */
+/** The keys under a prefix: all of them (list), or the changes since a revision (watch). */
 export default interface StoreChanges {
-  /** The store's revision that this reaches up to; a watch goes on from here. */
+  /** The store's revision up to which changes are included; the next watch starts from it. */
   readonly revision: number;
   readonly items: readonly StoreItem[];
-  /** Keys deleted since the revision asked for; empty for a listing. */
+  /** Keys deleted since the requested revision; empty for a list. */
   readonly deleted: readonly string[];
 }
--- a/src/store/StoreError.ts
+++ b/src/store/StoreError.ts
@@ -1,9 +1,9 @@
-/** Why a call to the platform's key-value service did not succeed. */
+/** Why a call to the platform's key-value service failed. */
 export default interface StoreError {
   /**
-   * `unavailable`: no answer; a write may have taken effect all the same.
+   * `unavailable`: no definite answer; a write may still have taken effect.
    * `conflict`: the key's revision is not the one expected; nothing was written.
-   * `leaseGone`: the lease named has lapsed; nothing was written.
+   * `leaseGone`: the given lease has expired; nothing was written.
    */
   readonly kind: 'unavailable' | 'conflict' | 'leaseGone';
   readonly reason: string;
--- a/src/store/StoreItem.ts
+++ b/src/store/StoreItem.ts
@@ -1,4 +1,4 @@
-/** One key of the platform's key-value service with its value. */
+/** A key of the platform's key-value service with its value. */
 export default interface StoreItem {
   readonly key: string;
   readonly value: string;
--- a/src/store/TokenBucket.ts
+++ b/src/store/TokenBucket.ts
@@ -1,42 +1,42 @@
 import type TimerService from '../core/TimerService';
 
-const SECOND_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** Limits how often something may happen, with a burst of up to one second's worth. */
+/** A rate limiter that allows bursts of up to one second's tokens. */
 export default class TokenBucket {
   private tokens: number;
 
-  private filledAt: number;
+  private refilledAt: number;
 
   private constructor(
     private readonly timer: TimerService,
-    private readonly perSecond: number,
+    private readonly tokensPerSecond: number,
   ) {
-    this.tokens = Math.max(1, perSecond);
-    this.filledAt = timer.now();
+    this.tokens = Math.max(1, tokensPerSecond);
+    this.refilledAt = timer.now();
   }
 
   /** Creates a full bucket. */
-  static of(timer: TimerService, perSecond: number): TokenBucket {
-    return new TokenBucket(timer, perSecond);
+  static of(timer: TimerService, tokensPerSecond: number): TokenBucket {
+    return new TokenBucket(timer, tokensPerSecond);
   }
 
   /**
    * Takes a token and returns how long to wait before using it, in
-   * milliseconds; undefined, without taking one, when that is above the limit.
+   * milliseconds. Returns undefined and takes none if that is longer than `limitMs`.
    */
   take(limitMs: number): number | undefined {
-    this.fill();
-    const waitMs = Math.max(0, ((1 - this.tokens) * SECOND_MS) / this.perSecond);
+    this.refill();
+    const waitMs = Math.max(0, ((1 - this.tokens) * MS_PER_SECOND) / this.tokensPerSecond);
     if (waitMs > limitMs) return undefined;
     this.tokens -= 1;
     return waitMs;
   }
 
-  private fill(): void {
+  private refill(): void {
     const now = this.timer.now();
-    const gained = ((now - this.filledAt) * this.perSecond) / SECOND_MS;
-    this.tokens = Math.min(Math.max(1, this.perSecond), this.tokens + gained);
-    this.filledAt = now;
+    const refilled = ((now - this.refilledAt) * this.tokensPerSecond) / MS_PER_SECOND;
+    this.tokens = Math.min(Math.max(1, this.tokensPerSecond), this.tokens + refilled);
+    this.refilledAt = now;
   }
 }
--- a/src/store/WatchError.ts
+++ b/src/store/WatchError.ts
@@ -1,4 +1,7 @@
-/** Why following keys gave nothing: no answer, or the history asked for is gone and has to be listed anew. */
+/**
+ * Why a list or watch call failed: no answer, or the requested revision is compacted, so that the keys have
+ * to be listed again.
+ */
 export default interface WatchError {
   readonly kind: 'unavailable' | 'compacted';
   readonly reason: string;
--- a/src/store/WatchableStore.ts
+++ b/src/store/WatchableStore.ts
@@ -2,12 +2,12 @@
 import type StoreChanges from './StoreChanges';
 import type WatchError from './WatchError';
 
-/** What of the key-value service it takes to follow the keys under a prefix. */
+/** The calls of the key-value service that are needed to watch the keys under a prefix. */
 export default interface WatchableStore {
-  /** All keys with the prefix; the answer may be waited for so long, in ms, or as long as is usual. */
+  /** Lists all keys with the prefix. `answerMs` replaces the usual time-out of the call, ms. */
   list(prefix: string, answerMs?: number): ResultAsync<StoreChanges, WatchError>;
 
-  /** Waits for changes under the prefix after a revision; returns without any once the wait is over. */
+  /** Long-polls for changes under the prefix after a revision; returns no changes if there are none within `waitMs`. */
   watch(
     prefix: string,
     afterRevision: number,
