--- a/src/link/CallError.ts
+++ b/src/link/CallError.ts
@@ -1,8 +1,8 @@
-/** Why a call to a peer gave no answer. */
+/** Why a call to a peer failed. */
 export default interface CallError {
   /**
-   * `unreachable`: the request certainly did not arrive.
-   * `broken`: the request may have arrived; its answer is lost.
+   * `unreachable`: the request has definitely not arrived.
+   * `broken`: the request may have arrived, but its answer is lost.
    */
   readonly kind: 'unreachable' | 'broken';
   readonly reason: string;
--- a/src/link/ConnectNetwork.ts
+++ b/src/link/ConnectNetwork.ts
@@ -29,24 +29,28 @@
 import type TlsCredentials from './TlsCredentials';
 import writeFrames from './writeFrames';
 
-/** Defaults of how long a connection and the peer's hello may take, ms. */
-const TIMEOUTS = { connectMs: 3000, helloMs: 5000 };
+/** Default time-outs for opening a connection and for the peer's hello, ms. */
+const DEFAULT_TIMEOUTS = { connectMs: 3000, helloMs: 5000 };
 
 /** The network of a running process: Connect calls over HTTP/2, in plain text or with mutual TLS. */
 export default class ConnectNetwork implements Network {
   private readonly sessions = new Map<string, PeerSession>();
 
-  /** Sessions that take no new requests and have not ended. */
-  private readonly ending = new Set<PeerSession>();
+  /** Sessions that accept no new requests and whose sockets are still open. */
+  private readonly closingSessions = new Set<PeerSession>();
 
   private constructor(
     private readonly timer: TimerService,
     private readonly tls: TlsCredentials | undefined,
-    private readonly timeouts: typeof TIMEOUTS,
+    private readonly timeouts: typeof DEFAULT_TIMEOUTS,
   ) {}
 
   /** Creates the network of one process; with credentials, all its connections use TLS. */
-  static create(timer: TimerService, tls?: TlsCredentials, timeouts = TIMEOUTS): ConnectNetwork {
+  static create(
+    timer: TimerService,
+    tls?: TlsCredentials,
+    timeouts = DEFAULT_TIMEOUTS,
+  ): ConnectNetwork {
     return new ConnectNetwork(timer, tls, timeouts);
   }
 
@@ -82,11 +86,11 @@
     return PeerServer.listen(address, hello, handlers, this.timer, this.tls);
   }
 
-  /** Ends every session that this process has opened. Listeners are closed on their own. */
+  /** Closes every session that this process has opened. Listeners have to be closed separately. */
   close(): void {
-    [...this.sessions.values(), ...this.ending].forEach((session) => session.close());
+    [...this.sessions.values(), ...this.closingSessions].forEach((session) => session.close());
     this.sessions.clear();
-    this.ending.clear();
+    this.closingSessions.clear();
   }
 
   private call<T>(
@@ -95,15 +99,15 @@
     signal?: AbortSignal,
   ): ResultAsync<T, CallError> {
     const session = new ResultAsync(this.openSession(address, signal));
-    return session.andThen(({ client }) => ResultAsync.fromPromise(send(client), broken));
+    return session.andThen(({ client }) => ResultAsync.fromPromise(send(client), brokenError));
   }
 
-  /** The session to an address, opened. An address may come from a peer and be none at all. */
+  /** Opens the session to an address. The address may have been received from a peer and be invalid. */
   private async openSession(
     address: string,
     signal?: AbortSignal,
   ): Promise<Result<PeerSession, CallError>> {
-    const found = Result.fromThrowable(() => this.sessionTo(address), String)();
+    const found = Result.fromThrowable(() => this.sessionFor(address), String)();
     if (found.isErr()) return err({ kind: 'unreachable', reason: found.error });
     const session = found.value;
     const failure = await session.open(signal);
@@ -118,19 +122,19 @@
     const cancel = (): void => stream?.close(constants.NGHTTP2_CANCEL);
     const outgoing = FrameQueue.create(cancel);
     outgoing.send({ case: 'hello', value: hello });
-    const limit = this.timer.after(this.timeouts.helloMs, () => {
+    const helloTimeout = this.timer.after(this.timeouts.helloMs, () => {
       cancel();
       session.close();
     });
     try {
       stream = await session.openLink();
       const incoming = FrameReader.of(stream);
-      writeLink(stream, outgoing);
+      writeOutgoing(stream, outgoing);
       const first = await incoming.next();
       const peer = readHello(first);
-      const objection = peer ? helloMismatch(peer, hello) : 'the peer sent no hello';
-      if (peer && objection === undefined) {
-        // The stream did not end in good order, so the connection may be as silent as the peer.
+      const mismatch = peer ? helloMismatch(peer, hello) : 'the peer sent no hello';
+      if (peer && mismatch === undefined) {
+        // The peer did not end the stream, so its whole connection may be dead and is closed as well.
         const reset = () => {
           cancel();
           session.close();
@@ -140,44 +144,44 @@
       }
       outgoing.abort();
       cancel();
-      return err({ kind: 'broken', reason: objection ?? '' });
+      return err({ kind: 'broken', reason: mismatch ?? '' });
     } catch (cause) {
       outgoing.abort();
-      return err(broken(cause));
+      return err(brokenError(cause));
     } finally {
-      limit.cancel();
+      helloTimeout.cancel();
     }
   }
 
-  private sessionTo(address: string): PeerSession {
+  private sessionFor(address: string): PeerSession {
     const known = this.sessions.get(address);
     if (known && !known.isClosing) return known;
-    this.forgetEnded();
+    this.removeClosing();
     const session = PeerSession.create(address, this.timer, this.timeouts.connectMs, this.tls);
     this.sessions.set(address, session);
     return session;
   }
 
-  private forgetEnded(): void {
+  private removeClosing(): void {
     this.sessions.forEach((session, address) => {
       if (!session.isClosing) return;
       this.sessions.delete(address);
-      this.ending.add(session);
+      this.closingSessions.add(session);
     });
-    this.ending.forEach((session) => {
-      if (session.isDisconnected) this.ending.delete(session);
+    this.closingSessions.forEach((session) => {
+      if (session.isDisconnected) this.closingSessions.delete(session);
     });
   }
 }
 
-/** Writes what is queued until the link ends; what cannot be encoded ends it too. */
-function writeLink(stream: ClientHttp2Stream, outgoing: FrameQueue): void {
+/** Writes queued messages until the link ends. A message that cannot be encoded ends it as well. */
+function writeOutgoing(stream: ClientHttp2Stream, outgoing: FrameQueue): void {
   writeFrames(stream, outgoing.frames()).then(
     () => stream.end(),
     (error: Error) => stream.destroy(error),
   );
 }
 
-function broken(cause: unknown): CallError {
+function brokenError(cause: unknown): CallError {
   return { kind: 'broken', reason: ConnectError.from(cause).rawMessage };
 }
--- a/src/link/FrameQueue.ts
+++ b/src/link/FrameQueue.ts
@@ -14,111 +14,112 @@
 const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
 /**
- * The messages of a link that wait to be written. What one callback of the event
- * loop sends leaves in one frame; while the peer reads slowly, frames grow instead
- * of becoming many. A peer that does not read at all fills the queue.
+ * The send queue of a link. Messages sent within one callback of the event loop are
+ * written in one frame. If the peer reads slowly, frames get larger instead of more
+ * numerous. If it does not read at all, the queue overflows.
  */
 export default class FrameQueue {
-  private waiting: Message[] = [];
+  private queued: Message[] = [];
 
-  private waitingBytes = 0;
+  private queuedBytes = 0;
 
-  /** Whether what waits is not to be written before it is flushed. */
-  private flushDue = false;
+  /** Whether queued messages have to wait for the next flush. */
+  private isFlushPending = false;
 
-  /** Whether something has left in this turn of the loop. */
-  private hasFlushed = false;
+  /** Whether a flush was already scheduled in this turn of the event loop. */
+  private hasFlushedThisTurn = false;
 
-  private ended = false;
+  private isEnded = false;
 
-  private readonly changed = Wakeup.create();
+  private readonly wakeup = Wakeup.create();
 
   private constructor(
-    private readonly overflow: () => void,
+    private readonly onOverflow: () => void,
     private readonly maxBytes: number,
   ) {}
 
-  /** Creates an empty queue that calls `overflow` when more than the limit waits. */
-  static create(overflow: () => void, maxBytes: number = MAX_QUEUE_BYTES): FrameQueue {
-    return new FrameQueue(overflow, maxBytes);
+  /** Creates an empty queue that calls `onOverflow` when more than `maxBytes` are queued. */
+  static create(onOverflow: () => void, maxBytes: number = MAX_QUEUE_BYTES): FrameQueue {
+    return new FrameQueue(onOverflow, maxBytes);
   }
 
-  /** Queues a message for this turn's frame. */
+  /** Queues a message for the next frame. Does nothing after the end. */
   send(message: PeerMessage): void {
-    if (this.ended) return;
+    if (this.isEnded) return;
     MessageCounts.global.add(message);
-    this.waiting.push(create(MessageSchema, { kind: message }));
-    this.waitingBytes += estimateSize(message.value);
-    if (this.waitingBytes > this.maxBytes) {
+    this.queued.push(create(MessageSchema, { kind: message }));
+    this.queuedBytes += estimateSize(message.value);
+    if (this.queuedBytes > this.maxBytes) {
       this.abort();
-      this.overflow();
+      this.onOverflow();
       return;
     }
-    this.flushSoon();
+    this.scheduleFlush();
   }
 
-  /** Takes no more messages; the frames end after what is queued. */
+  /** Accepts no more messages; the frames end after those queued. */
   end(): void {
-    this.ended = true;
-    this.changed.wake();
+    this.isEnded = true;
+    this.wakeup.wake();
   }
 
-  /** Discards what is queued and ends the frames. */
+  /** Discards queued messages and ends the frames. */
   abort(): void {
-    this.waiting = [];
-    this.waitingBytes = 0;
+    this.queued = [];
+    this.queuedBytes = 0;
     this.end();
   }
 
-  /** The frames to write, until the end. For one writer, which takes the next when the last is written. */
+  /** The frames to write, until the end. For a single writer that takes the next frame when the last one is written. */
   async *frames(): AsyncGenerator<Frame, void, void> {
     for (;;) {
-      while (this.flushDue || (this.waiting.length === 0 && !this.ended)) await this.changed.wait();
-      if (this.waiting.length === 0) return;
-      yield create(FrameSchema, { messages: this.take() });
+      while (this.isFlushPending || (this.queued.length === 0 && !this.isEnded))
+        await this.wakeup.wait();
+      if (this.queued.length === 0) return;
+      yield create(FrameSchema, { messages: this.takeMessages() });
     }
   }
 
   /**
-   * What one callback sends is written at its end: waiting for the end of the turn would cost the loop another poll.
-   * What other callbacks of the same turn send after that leaves together, when the turn is over.
+   * Messages sent by one callback are written when it ends: waiting for the end of the turn would cost another poll
+   * of the event loop. Messages sent later by other callbacks of the same turn are written together when the turn ends.
    */
-  private flushSoon(): void {
-    if (this.flushDue) return;
-    this.flushDue = true;
-    if (this.hasFlushed) return;
-    this.hasFlushed = true;
+  private scheduleFlush(): void {
+    if (this.isFlushPending) return;
+    this.isFlushPending = true;
+    if (this.hasFlushedThisTurn) return;
+    this.hasFlushedThisTurn = true;
     setImmediate(() => {
-      this.hasFlushed = false;
+      this.hasFlushedThisTurn = false;
       this.flush();
     });
-    // After the microtasks, which send as well.
+    // Runs after the pending microtasks, which may send as well.
     queueMicrotask(() => process.nextTick(() => this.flush()));
   }
 
   private flush(): void {
-    this.flushDue = false;
-    this.changed.wake();
+    this.isFlushPending = false;
+    this.wakeup.wake();
   }
 
-  private take(): Message[] {
-    if (this.waitingBytes <= MAX_FRAME_BYTES) {
-      const all = this.waiting;
-      this.waiting = [];
-      this.waitingBytes = 0;
+  private takeMessages(): Message[] {
+    if (this.queuedBytes <= MAX_FRAME_BYTES) {
+      const all = this.queued;
+      this.queued = [];
+      this.queuedBytes = 0;
       return all;
     }
-    return this.takePart();
+    return this.takeUpToFrameLimit();
   }
 
-  private takePart(): Message[] {
+  private takeUpToFrameLimit(): Message[] {
     let count = 0;
     let bytes = 0;
-    while (count < this.waiting.length && bytes < MAX_FRAME_BYTES) {
-      bytes += estimateSize(this.waiting[count]?.kind.value);
+    while (count < this.queued.length && bytes < MAX_FRAME_BYTES) {
+      bytes += estimateSize(this.queued[count]?.kind.value);
       count += 1;
     }
-    this.waitingBytes -= bytes;
-    return this.waiting.splice(0, count);
+    this.queuedBytes -= bytes;
+    return this.queued.splice(0, count);
   }
 }
--- a/src/link/FrameReader.ts
+++ b/src/link/FrameReader.ts
@@ -6,33 +6,33 @@
 import EnvelopeDecoder from './EnvelopeDecoder';
 
 /**
- * The frames that arrive on a stream of the Connect protocol. The RPC library reads a stream through a
- * chain of asynchronous iterators, which is most of what a link costs a process; here a frame is read
- * where its bytes arrive.
+ * Reads the frames of a stream in the Connect protocol. The RPC library (Connect) would read the stream through
+ * a chain of asynchronous iterators, which would be most of the CPU cost of a link; here a frame is decoded in the
+ * callback in which its bytes arrive.
  */
 export default class FrameReader implements AsyncIterator<Frame, undefined> {
   private readonly frames: Frame[] = [];
 
-  private readonly splitter = EnvelopeDecoder.create();
+  private readonly decoder = EnvelopeDecoder.create();
 
-  private readonly changed = Wakeup.create();
+  private readonly wakeup = Wakeup.create();
 
-  /** Whether nothing more will arrive, in good order or by `failure`. */
-  private isOver = false;
+  /** Whether no more frames will arrive, because the stream was ended cleanly or by `failure`. */
+  private isEnded = false;
 
   private failure: Error | undefined;
 
   private constructor(private readonly stream: Readable) {}
 
-  /** Begins to read a stream. */
+  /** Starts to read a stream. */
   static of(stream: Readable): FrameReader {
     const reader = new FrameReader(stream);
-    stream.on('data', (chunk: Uint8Array) => reader.take(chunk));
+    stream.on('data', (chunk: Uint8Array) => reader.handleChunk(chunk));
     finished(stream, { writable: false }, (error) => reader.end(error ?? undefined));
     return reader;
   }
 
-  /** The next frame. Rejects when the stream has failed, or the peer has ended it with an error. */
+  /** Resolves to the next frame. Rejects if the stream failed or the peer ended it with an error. */
   async next(): Promise<IteratorResult<Frame, undefined>> {
     for (;;) {
       const value = this.frames.shift();
@@ -41,47 +41,47 @@
         return { done: false, value };
       }
       if (this.failure) throw this.failure;
-      if (this.isOver) return { done: true, value: undefined };
-      await this.changed.wait();
+      if (this.isEnded) return { done: true, value: undefined };
+      await this.wakeup.wait();
     }
   }
 
-  private take(chunk: Uint8Array): void {
-    if (this.isOver) return;
+  private handleChunk(chunk: Uint8Array): void {
+    if (this.isEnded) return;
     try {
-      this.splitter.push(chunk).forEach(({ flags, content }) => this.read(flags, content));
+      this.decoder.push(chunk).forEach(({ flags, content }) => this.handleEnvelope(flags, content));
     } catch (error) {
       this.end(error as Error);
     }
     if (this.frames.length >= READ_AHEAD_FRAMES) this.stream.pause();
-    this.changed.wake();
+    this.wakeup.wake();
   }
 
-  private read(flags: number, content: Uint8Array): void {
-    if (flags === envelopeFlags.endStream) this.end(errorOf(content));
+  private handleEnvelope(flags: number, content: Uint8Array): void {
+    if (flags === envelopeFlags.endStream) this.end(endStreamError(content));
     else if (flags === envelopeFlags.none) this.frames.push(fromBinary(FrameSchema, content));
-    else throw new Error(`a frame with the flags ${flags}, which were not agreed`);
+    else throw new Error(`frame with unsupported flags ${flags}`);
   }
 
   private end(failure?: Error): void {
-    if (this.isOver) return;
-    this.isOver = true;
-    const isCut = !failure && this.splitter.hasPartialEnvelope;
-    this.failure = isCut ? new Error('the stream has ended within a frame') : failure;
-    this.changed.wake();
+    if (this.isEnded) return;
+    this.isEnded = true;
+    const isTruncated = !failure && this.decoder.hasPartialEnvelope;
+    this.failure = isTruncated ? new Error('stream ended in the middle of a frame') : failure;
+    this.wakeup.wake();
   }
 }
 
-/** Frames that wait for their reader before no more are taken from the connection. */
+/** Number of unread frames at which reading from the connection is paused. */
 const READ_AHEAD_FRAMES = 64;
 
-/** What the last envelope of a stream says to have gone wrong, if anything. */
-function errorOf(content: Uint8Array): Error | undefined {
-  const { error } = JSON.parse(Buffer.from(content).toString()) as LastMessage;
-  return error && new Error(error.message ?? error.code ?? 'the peer has ended the link');
+/** The error in the last envelope of a stream, if there is one. */
+function endStreamError(content: Uint8Array): Error | undefined {
+  const { error } = JSON.parse(Buffer.from(content).toString()) as EndStreamMessage;
+  return error && new Error(error.message ?? error.code ?? 'peer ended the link with an error');
 }
 
-/** The last message of a stream, by the Connect protocol. */
-interface LastMessage {
+/** The last message of a stream in the Connect protocol. */
+interface EndStreamMessage {
   readonly error?: { readonly code?: string; readonly message?: string };
 }
--- a/src/link/Inbox.ts
+++ b/src/link/Inbox.ts
@@ -4,85 +4,86 @@
 const READ_AHEAD_MESSAGES = 4096;
 
 /**
- * What arrived on a link and is not yet handled. When the peer ends the link,
- * the messages that arrived before are still handed out; only then has the
- * link ended for its reader.
+ * The receive queue of a link: messages that have arrived and are not yet handled.
+ * When the peer ends the link, messages that arrived before are still delivered;
+ * only then does the link end for its reader.
  */
 export default class Inbox {
-  private arrived: PeerMessage[] = [];
+  private queued: PeerMessage[] = [];
 
-  /** Messages that arrived and are not yet handled; the one being handled is one of them. */
-  private unread = 0;
+  /** Number of messages not yet handled, including the one being handled. */
+  private unhandledCount = 0;
 
-  private finished = false;
+  private isFinished = false;
 
-  private dropped = false;
+  private isAborted = false;
 
-  private readonly changed = Wakeup.create();
+  private readonly arrival = Wakeup.create();
 
-  private readonly drained = Wakeup.create();
+  private readonly spaceFreed = Wakeup.create();
 
-  private constructor(private readonly ended: () => void) {}
+  private constructor(private readonly onEnd: () => void) {}
 
-  /** Creates an empty inbox that calls `ended` once, when nothing more will be handed out. */
-  static create(ended: () => void): Inbox {
-    return new Inbox(ended);
+  /** Creates an empty inbox that calls `onEnd` once, when no more messages will be delivered. */
+  static create(onEnd: () => void): Inbox {
+    return new Inbox(onEnd);
   }
 
-  /** Adds messages in their order. Ignored after the end. */
+  /** Appends messages. Ignored after the end. */
   push(messages: readonly PeerMessage[]): void {
-    if (this.finished) return;
-    messages.forEach((message) => this.arrived.push(message));
-    this.unread += messages.length;
-    this.changed.wake();
+    if (this.isFinished) return;
+    messages.forEach((message) => this.queued.push(message));
+    this.unhandledCount += messages.length;
+    this.arrival.wake();
   }
 
-  /** Resolves when the reader has caught up far enough to take more. */
+  /** Resolves when at most `READ_AHEAD_MESSAGES` are unhandled (back-pressure for the stream), or after `abort`. */
   async waitForSpace(): Promise<void> {
-    while (this.unread > READ_AHEAD_MESSAGES && !this.dropped) await this.drained.wait();
+    while (this.unhandledCount > READ_AHEAD_MESSAGES && !this.isAborted)
+      await this.spaceFreed.wait();
   }
 
-  /** Nothing more will arrive; what is there is still handed out. */
+  /** Accepts no more messages; those queued are still delivered. */
   finish(): void {
-    if (this.finished) return;
-    this.finished = true;
-    this.changed.wake();
-    if (this.unread === 0) this.ended();
+    if (this.isFinished) return;
+    this.isFinished = true;
+    this.arrival.wake();
+    if (this.unhandledCount === 0) this.onEnd();
   }
 
-  /** Ends at once and discards what was not handed out. */
+  /** Ends at once and discards undelivered messages. */
   abort(): void {
-    if (this.dropped) return;
-    const wasEnded = this.finished && this.unread === 0;
-    this.dropped = true;
-    this.finished = true;
-    this.arrived = [];
-    this.unread = 0;
-    this.changed.wake();
-    this.drained.wake();
-    if (!wasEnded) this.ended();
+    if (this.isAborted) return;
+    const wasEnded = this.isFinished && this.unhandledCount === 0;
+    this.isAborted = true;
+    this.isFinished = true;
+    this.queued = [];
+    this.unhandledCount = 0;
+    this.arrival.wake();
+    this.spaceFreed.wake();
+    if (!wasEnded) this.onEnd();
   }
 
-  /** Hands out the messages in order until the end. For one reader. */
+  /** Delivers the messages in order until the end. For a single reader. */
   async *read(): AsyncGenerator<PeerMessage, void, void> {
     for (;;) {
-      const batch = this.arrived;
-      this.arrived = [];
+      const batch = this.queued;
+      this.queued = [];
       for (const message of batch) {
-        if (this.dropped) return;
+        if (this.isAborted) return;
         yield message;
-        this.handled();
+        this.markHandled();
       }
-      if (this.arrived.length > 0) continue;
-      if (this.finished) return;
-      await this.changed.wait();
+      if (this.queued.length > 0) continue;
+      if (this.isFinished) return;
+      await this.arrival.wait();
     }
   }
 
-  private handled(): void {
-    if (this.dropped) return;
-    this.unread -= 1;
-    this.drained.wake();
-    if (this.finished && this.unread === 0) this.ended();
+  private markHandled(): void {
+    if (this.isAborted) return;
+    this.unhandledCount -= 1;
+    this.spaceFreed.wake();
+    if (this.isFinished && this.unhandledCount === 0) this.onEnd();
   }
 }
--- a/src/link/KeepAlive.ts
+++ b/src/link/KeepAlive.ts
@@ -4,99 +4,104 @@
 import type Link from './Link';
 import type PeerMessage from './PeerMessage';
 
-/** What a link's owner adds to the keep-alive. */
+/** Callbacks of the link's owner. */
 interface KeepAliveOwner {
-  /** Makes the next heartbeat. */
+  /** Creates the next heartbeat message. */
   heartbeat(): PeerMessage;
-  /** Told once at each change of suspicion. Not told when the link closes. */
+  /** Called on each change of whether the peer is suspected; not called when the link closes. */
   onSuspicionChange(suspected: boolean): void;
 }
 
 /**
- * Sends heartbeats into silence and watches the peer's. Any message counts as
- * a heartbeat, in both directions. It stops when the link closes.
+ * Sends heartbeats on an idle link and detects an unresponsive peer. Any message
+ * counts as a heartbeat, in both directions. Stops when the link closes.
  */
 export default class KeepAlive {
-  private suspecting = false;
+  private isSuspecting = false;
 
-  /** Silence is counted from here when this process itself was held up and may have unread messages. */
-  private heldUpUntil = 0;
+  /**
+   * End of this process's last pause. Silence counts only from here, since messages that arrived during the
+   * pause may be unread.
+   */
+  private pausedUntil = 0;
 
-  private beat: Subscription | undefined;
+  private heartbeatTimer: Subscription | undefined;
 
-  private check: Subscription | undefined;
+  private silenceTimer: Subscription | undefined;
 
   private constructor(
     private readonly link: Link,
     private readonly timer: TimerService,
-    private readonly limits: KeepAliveOptions,
+    private readonly options: KeepAliveOptions,
     private readonly owner: KeepAliveOwner,
   ) {}
 
-  /** Starts to keep the link alive. */
+  /** Starts heartbeats and silence checks on the link. */
   static start(
     link: Link,
     timer: TimerService,
-    limits: KeepAliveOptions,
+    options: KeepAliveOptions,
     owner: KeepAliveOwner,
   ): KeepAlive {
-    const keepAlive = new KeepAlive(link, timer, limits, owner);
+    const keepAlive = new KeepAlive(link, timer, options, owner);
     if (link.closed.aborted) return keepAlive;
     link.closed.addEventListener('abort', () => keepAlive.stop(), { once: true });
-    keepAlive.beatLater(limits.intervalMs);
-    keepAlive.checkLater(limits.suspectMs);
+    keepAlive.scheduleHeartbeat(options.intervalMs);
+    keepAlive.scheduleCheck(options.suspectMs);
     return keepAlive;
   }
 
-  /** Ends heartbeats and watching; the link stays as it is. */
+  /** Stops heartbeats and silence checks; the link stays as it is. */
   stop(): void {
-    this.beat?.cancel();
-    this.check?.cancel();
+    this.heartbeatTimer?.cancel();
+    this.silenceTimer?.cancel();
   }
 
-  private beatLater(delayMs: number): void {
-    this.beat = this.timer.after(delayMs, () => this.beatIfSilent());
+  private scheduleHeartbeat(delayMs: number): void {
+    this.heartbeatTimer = this.timer.after(delayMs, () => this.sendHeartbeatIfIdle());
   }
 
-  private beatIfSilent(): void {
-    const { link, timer, limits } = this;
-    const leftMs = link.lastSentAt + limits.intervalMs - timer.now();
+  private sendHeartbeatIfIdle(): void {
+    const { link, timer, options } = this;
+    const leftMs = link.lastSentAt + options.intervalMs - timer.now();
     if (leftMs > 0) {
-      this.beatLater(Math.ceil(leftMs));
+      this.scheduleHeartbeat(Math.ceil(leftMs));
       return;
     }
     link.send(this.owner.heartbeat());
-    if (!link.closed.aborted) this.beatLater(limits.intervalMs);
+    if (!link.closed.aborted) this.scheduleHeartbeat(options.intervalMs);
   }
 
-  private checkLater(delayMs: number): void {
+  private scheduleCheck(delayMs: number): void {
     const dueAt = this.timer.now() + delayMs;
-    this.check = this.timer.after(delayMs, () => {
-      this.noteHoldUp(dueAt);
+    this.silenceTimer = this.timer.after(delayMs, () => {
+      this.detectPause(dueAt);
       this.checkSilence();
     });
   }
 
-  private noteHoldUp(dueAt: number): void {
+  private detectPause(dueAt: number): void {
     const now = this.timer.now();
-    if (now - dueAt > this.limits.intervalMs) this.heldUpUntil = now;
+    if (now - dueAt > this.options.intervalMs) this.pausedUntil = now;
   }
 
   private checkSilence(): void {
-    const { link, timer, limits } = this;
-    const silentMs = timer.now() - Math.max(link.lastReceivedAt, this.heldUpUntil);
-    if (silentMs >= limits.closeMs) {
+    const { link, timer, options } = this;
+    const silentMs = timer.now() - Math.max(link.lastReceivedAt, this.pausedUntil);
+    if (silentMs >= options.closeMs) {
       link.close();
       return;
     }
-    this.suspect(silentMs >= limits.suspectMs);
+    this.setSuspecting(silentMs >= options.suspectMs);
     if (link.closed.aborted) return;
-    this.checkLater(this.suspecting ? limits.intervalMs : Math.ceil(limits.suspectMs - silentMs));
+    this.scheduleCheck(
+      this.isSuspecting ? options.intervalMs : Math.ceil(options.suspectMs - silentMs),
+    );
   }
 
-  private suspect(suspected: boolean): void {
-    if (suspected === this.suspecting) return;
-    this.suspecting = suspected;
+  private setSuspecting(suspected: boolean): void {
+    if (suspected === this.isSuspecting) return;
+    this.isSuspecting = suspected;
     this.owner.onSuspicionChange(suspected);
   }
 }
--- a/src/link/KeepAliveOptions.ts
+++ b/src/link/KeepAliveOptions.ts
@@ -1,9 +1,9 @@
-/** How long a link may be silent, in milliseconds. */
+/** Time limits for silence on a link, in milliseconds. */
 export default interface KeepAliveOptions {
-  /** After this long without a message of its own, a process sends a heartbeat. */
+  /** A process that has sent nothing for this long sends a heartbeat. */
   readonly intervalMs: number;
-  /** After this long without a message from the peer, the peer is suspected. */
+  /** A peer from which nothing has arrived for this long is suspected. */
   readonly suspectMs: number;
-  /** After this long without a message from the peer, the link is closed. */
+  /** A link on which nothing has arrived for this long is closed. */
   readonly closeMs: number;
 }
--- a/src/link/LINK_RPC.ts
+++ b/src/link/LINK_RPC.ts
@@ -1,9 +1,9 @@
 import { Peer } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** The one call whose stream is read and written without the RPC library: see `FrameReader`. */
+/** The only method whose stream is read and written without the RPC library: see `FrameReader`. */
 const LINK_RPC = {
   path: `/${Peer.typeName}/${Peer.method.link.name}`,
-  /** What a stream of the Connect protocol with binary messages is labelled with. */
+  /** Content type of a stream in the Connect protocol with binary messages. */
   contentType: 'application/connect+proto',
 } as const;
 
--- a/src/link/Listener.ts
+++ b/src/link/Listener.ts
@@ -1,7 +1,7 @@
 /** An open listening address. */
 export default interface Listener {
-  /** The address in use, "ip:port", with the port that was given for port 0. */
+  /** The bound address, "ip:port"; for port 0, with the port that the system assigned. */
   readonly address: string;
-  /** Ends every connection and stops listening. */
+  /** Stops listening and closes all connections. */
   close(): Promise<void>;
 }
--- a/src/link/MessageCounts.ts
+++ b/src/link/MessageCounts.ts
@@ -11,7 +11,7 @@
 
 /**
  * Counts the messages that this process has sent on its links, by kind. Results
- * and refusals are counted by status and cause. Bytes are taken from one
+ * are counted per status, and refusals per cause. Bytes are estimated from one
  * message of sixteen, since encoding each one twice would cost too much.
  */
 export default class MessageCounts {
@@ -22,7 +22,7 @@
 
   private constructor() {}
 
-  /** Counts a message that is sent. */
+  /** Counts a sent message. */
   add(message: PeerMessage): void {
     const kind = kindOf(message);
     let count = this.kinds.get(kind);
@@ -30,17 +30,19 @@
       count = { messages: 0, bytes: 0 };
       this.kinds.set(kind, count);
     }
-    if (count.messages % SAMPLED_OF === 0) count.bytes += SAMPLED_OF * sizeOf(message);
+    if (count.messages % SAMPLE_INTERVAL === 0)
+      count.bytes += SAMPLE_INTERVAL * encodedSize(message);
     count.messages += 1;
   }
 
-  /** What was counted so far, by kind. */
+  /** A copy of the counts so far, by kind. */
   snapshot(): Record<string, KindCount> {
     return Object.fromEntries([...this.kinds].map(([kind, count]) => [kind, { ...count }]));
   }
 }
 
-const SAMPLED_OF = 16;
+/** The size of one message out of this many is measured. */
+const SAMPLE_INTERVAL = 16;
 
 function kindOf(message: PeerMessage): string {
   if (message.case === 'refuse') return `refuse.${RefusalCause[message.value.cause]}`;
@@ -49,11 +51,12 @@
   return message.case;
 }
 
-function sizeOf(message: PeerMessage): number {
+function encodedSize(message: PeerMessage): number {
   try {
     return toBinary(MessageSchema, create(MessageSchema, { kind: message })).length;
   } catch {
-    // It ends its link when it is written, which is logged there; counting must not end the process.
+    // A message that cannot be encoded ends its link when it is written, and is logged there; counting must
+    // not end the process.
     return 0;
   }
 }
--- a/src/link/Network.ts
+++ b/src/link/Network.ts
@@ -16,14 +16,14 @@
 import type PeerHandlers from './PeerHandlers';
 
 /**
- * How processes of the system reach one another. The running system uses
- * `ConnectNetwork`; tests put a network in its place that keeps everything in memory.
+ * Communication between the processes of the system. In production this is
+ * `ConnectNetwork`; tests use an in-memory implementation.
  */
 export default interface Network {
   /** Opens a link to the entry at the address and exchanges hellos. */
   dial(address: string, hello: Hello): ResultAsync<Link, CallError>;
 
-  /** Hands a submission to another entry. The signal gives up waiting for the answer. */
+  /** Forwards a submission to another entry. The signal stops waiting for the answer. */
   forward(
     address: string,
     req: ForwardRequest,
@@ -33,13 +33,13 @@
   /** Asks another entry whether it holds a job. */
   claim(address: string, req: ClaimRequest): ResultAsync<ClaimResponse, CallError>;
 
-  /** Gives job records to another entry. */
+  /** Transfers job records to another entry. */
   handover(address: string, req: HandoverRequest): ResultAsync<HandoverResponse, CallError>;
 
   /** Asks another entry for its state. */
   inspect(address: string, req: InspectRequest): ResultAsync<InspectResponse, CallError>;
 
-  /** Serves other processes at the address; `hello` answers each link's first message. */
+  /** Serves other processes at the address; `hello` creates the reply to each link's first message. */
   listen(
     address: string,
     hello: () => Hello,
--- a/src/link/PROTOCOL_VERSION.ts
+++ b/src/link/PROTOCOL_VERSION.ts
@@ -1,4 +1,4 @@
-/** Version of the messages between processes. Two processes link only when theirs is the same. */
+/** Version of the protocol between processes. Two processes link only if they have the same version. */
 const PROTOCOL_VERSION = 1;
 
 export default PROTOCOL_VERSION;
--- a/src/link/PeerHandlers.ts
+++ b/src/link/PeerHandlers.ts
@@ -10,14 +10,14 @@
 } from '../gen/magnoliakeel/v1/peer_pb';
 import type Link from './Link';
 
-/** What an entry does for the processes that call it. */
+/** Handlers for the links and calls of other processes. */
 export default interface PeerHandlers {
-  /** Serves one link from its opening to its end. */
+  /** Serves one link until it ends. */
   link(link: Link): Promise<void>;
   forward(req: ForwardRequest): Promise<ForwardResponse>;
   claim(req: ClaimRequest): Promise<ClaimResponse>;
   handover(req: HandoverRequest): Promise<HandoverResponse>;
   inspect(req: InspectRequest): Promise<InspectResponse>;
-  /** Told of a connection that could not be accepted, or of an error in serving a link; all else goes on. */
+  /** Called with an error in accepting a connection or serving a link; other connections are not affected. */
   onError?(error: unknown): void;
 }
--- a/src/link/PeerMessage.ts
+++ b/src/link/PeerMessage.ts
@@ -1,5 +1,5 @@
 import type { Message } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** One message on a link, told apart by its `case`. */
+/** One message on a link; `case` is its kind. */
 type PeerMessage = Exclude<Message['kind'], { case: undefined }>;
 export type { PeerMessage as default };
--- a/src/link/PeerServer.ts
+++ b/src/link/PeerServer.ts
@@ -39,10 +39,10 @@
 import enlargeSessionWindow from './enlargeSessionWindow';
 import writeFrames from './writeFrames';
 
-const SILENT_SESSION_MS = 120_000;
+const IDLE_SESSION_TIMEOUT_MS = 120_000;
 const CLOSE_GRACE_MS = 1000;
 
-/** Serves the peers of one process at one address. */
+/** The HTTP/2 server of one process for its peers, at one address. */
 export default class PeerServer implements Listener {
   private readonly server: Http2Server | Http2SecureServer;
 
@@ -50,7 +50,7 @@
 
   private readonly links = new Set<StreamLink>();
 
-  private readonly paths: ReadonlyMap<string, PeerHandler>;
+  private readonly handlersByPath: ReadonlyMap<string, RpcHandler>;
 
   private constructor(
     private readonly hello: () => Hello,
@@ -58,17 +58,17 @@
     private readonly timer: TimerService,
     tls: TlsCredentials | undefined,
   ) {
-    this.paths = this.routes();
-    this.server = tls ? secureServer(tls) : createServer(SESSION_OPTIONS);
+    this.handlersByPath = this.createRoutes();
+    this.server = tls ? createTlsServer(tls) : createServer(SESSION_OPTIONS);
     this.server.on('request', (req: Http2ServerRequest, res: Http2ServerResponse) =>
       this.handle(req, res),
     );
-    // A session whose client vanished without a word is ended in the end; a live one sends pings.
-    this.server.setTimeout(SILENT_SESSION_MS);
-    this.server.on('session', (session: ServerHttp2Session) => this.track(session));
+    // Ends the session of a client that vanished without closing it; a live client sends pings.
+    this.server.setTimeout(IDLE_SESSION_TIMEOUT_MS);
+    this.server.on('session', (session: ServerHttp2Session) => this.trackSession(session));
   }
 
-  /** Opens the address and serves it until the listener is closed. */
+  /** Binds the address and serves it until the listener is closed. */
   static listen(
     address: string,
     hello: () => Hello,
@@ -90,11 +90,11 @@
     });
     this.links.forEach((link) => link.close());
     this.sessions.forEach((session) => session.close());
-    const grace = this.timer.after(CLOSE_GRACE_MS, () =>
+    const graceTimer = this.timer.after(CLOSE_GRACE_MS, () =>
       this.sessions.forEach((session) => session.destroy()),
     );
     await closed;
-    grace.cancel();
+    graceTimer.cancel();
   }
 
   private open(address: string): Promise<Result<Listener, CallError>> {
@@ -105,14 +105,14 @@
     );
   }
 
-  private track(session: ServerHttp2Session): void {
+  private trackSession(session: ServerHttp2Session): void {
     this.sessions.add(session);
     session.once('close', () => this.sessions.delete(session));
     session.on('error', () => session.destroy());
     enlargeSessionWindow(session);
   }
 
-  private routes(): ReadonlyMap<string, PeerHandler> {
+  private createRoutes(): ReadonlyMap<string, RpcHandler> {
     const { handlers } = this;
     const router = createConnectRouter({ acceptCompression: [], ...MESSAGE_LIMITS });
     router.service(Peer, {
@@ -132,7 +132,7 @@
       });
       return;
     }
-    const handler = this.paths.get(req.url);
+    const handler = this.handlersByPath.get(req.url);
     if (!handler) {
       res.writeHead(constants.HTTP_STATUS_NOT_FOUND).end();
       return;
@@ -141,7 +141,7 @@
       const request = universalRequestFromNodeRequest(req, res, undefined, undefined);
       await universalResponseToNodeResponse(await handler(request), res);
     } catch {
-      // The peer has gone; whoever serves it sees that on the request's signal.
+      // The peer is gone; the handler is notified by the request's signal.
       req.stream.close(constants.NGHTTP2_CANCEL);
     }
   }
@@ -152,9 +152,9 @@
     const incoming = FrameReader.of(stream);
     const first = await incoming.next();
     const peer = readHello(first);
-    const objection = peer ? helloMismatch(peer, own) : 'the link began without a hello';
-    if (!peer || objection !== undefined) {
-      endLink(stream, { error: { code: 'failed_precondition', message: objection } });
+    const mismatch = peer ? helloMismatch(peer, own) : 'the link began without a hello';
+    if (!peer || mismatch !== undefined) {
+      endLink(stream, { error: { code: 'failed_precondition', message: mismatch } });
       return;
     }
     const reset = () => stream.close(constants.NGHTTP2_CANCEL);
@@ -181,19 +181,22 @@
   }
 }
 
-/** Ends a link's stream in good order, or with what speaks against the link. */
+/** Ends a link's stream with its last message: an empty object, or the error for which the link is rejected. */
 function endLink(stream: ServerHttp2Stream, last: object): void {
   if (stream.destroyed) return;
   const content = Buffer.from(JSON.stringify(last));
   stream.end(encodeEnvelope(envelopeFlags.endStream, content));
 }
 
-/** A server that asks for certificates of the same authority, and follows a change of its own. */
-function secureServer(tls: TlsCredentials): Http2SecureServer {
-  const asked = { requestCert: true, rejectUnauthorized: true };
-  const server = createSecureServer({ ...SESSION_OPTIONS, ...tls.current, ...asked });
+/**
+ * Creates a server that requires client certificates of the same authority and reloads its own credentials
+ * when they change.
+ */
+function createTlsServer(tls: TlsCredentials): Http2SecureServer {
+  const clientAuth = { requestCert: true, rejectUnauthorized: true };
+  const server = createSecureServer({ ...SESSION_OPTIONS, ...tls.current, ...clientAuth });
   tls.subscribe((contents) => server.setSecureContext(contents));
   return server;
 }
 
-type PeerHandler = ReturnType<typeof createConnectRouter>['handlers'][number];
+type RpcHandler = ReturnType<typeof createConnectRouter>['handlers'][number];
--- a/src/link/PeerSession.ts
+++ b/src/link/PeerSession.ts
@@ -20,12 +20,12 @@
 };
 
 /**
- * The life of one HTTP/2 connection to an address: opened when it is needed, used by all calls and the
- * link, and never opened again once it is over. A later connection is a session of its own, so nothing
- * stops listening to an older one that is still ending.
+ * One HTTP/2 connection to an address: opened on demand, shared by all calls and the link, and never
+ * reopened once it has ended. A later connection is a new `PeerSession`, so that the error listeners of
+ * an older one stay in place while it is still closing.
  */
 export default class PeerSession {
-  /** Calls the peer's methods over this session. */
+  /** RPC client for the peer's methods over this session. */
   readonly client: Client<typeof Peer>;
 
   private readonly manager: Http2SessionManager;
@@ -34,11 +34,11 @@
 
   private readonly streams = new Set<ClientHttp2Stream>();
 
-  /** Why the socket failed. */
+  /** Error with which the socket failed. */
   private failure: Error | undefined;
 
-  /** Known from the first request on. */
-  private conn: Http2Session | undefined;
+  /** Undefined before the first request. */
+  private http2Session: Http2Session | undefined;
 
   private constructor(
     address: string,
@@ -50,10 +50,10 @@
     const createConnection = (url: URL): Socket => this.createConnection(url);
     const options = { ...SESSION_OPTIONS, createConnection };
     this.manager = new Http2SessionManager(baseUrl, KEEP_ALIVE, options);
-    this.client = createClient(Peer, this.transport(baseUrl));
+    this.client = createClient(Peer, this.createTransport(baseUrl));
   }
 
-  /** Creates the session for the address, not yet open. */
+  /** Creates a session to the address without opening it. */
   static create(
     address: string,
     timer: TimerService,
@@ -63,28 +63,33 @@
     return new PeerSession(address, timer, connectMs, tls);
   }
 
-  /** True once the connection has ended or is ending, in good order or not: it takes no new requests. */
+  /** True once the connection is closing or closed, cleanly or not: it accepts no new requests. */
   get isClosing(): boolean {
-    const { socket, conn, manager } = this;
+    const { socket, http2Session, manager } = this;
     if (!socket) return false;
-    const isGivenUp = ['closed', 'error'].includes(manager.state());
-    return socket.destroyed || isGivenUp || conn?.closed === true || conn?.destroyed === true;
+    const isManagerDone = ['closed', 'error'].includes(manager.state());
+    return (
+      socket.destroyed ||
+      isManagerDone ||
+      http2Session?.closed === true ||
+      http2Session?.destroyed === true
+    );
   }
 
-  /** True while there is no socket, before the connection is opened and after its end. */
+  /** True while there is no open socket: before the connection is opened and after it has ended. */
   get isDisconnected(): boolean {
     return this.socket?.destroyed ?? true;
   }
 
-  /** Opens the connection unless it is open. Resolves to the reason when that fails, else to undefined. */
+  /** Opens the connection unless it is open. Resolves to undefined, or to the reason if that fails. */
   async open(signal?: AbortSignal): Promise<string | undefined> {
     if (signal?.aborted) return 'the caller has given up';
-    const decided = new AbortController();
-    const stop = signal ? AbortSignal.any([signal, decided.signal]) : decided.signal;
+    const connectEnd = new AbortController();
+    const stop = signal ? AbortSignal.any([signal, connectEnd.signal]) : connectEnd.signal;
     const late = this.timer.sleep(this.connectMs, stop).then(() => 'late' as const);
     const state = await Promise.race([this.manager.connect(), late]);
-    decided.abort();
-    if (state === 'late') return this.giveUp(signal);
+    connectEnd.abort();
+    if (state === 'late') return this.abandonConnect(signal);
     if (state !== 'error') return undefined;
     this.close();
     const cause = this.manager.error() ?? this.failure;
@@ -92,54 +97,56 @@
   }
 
   /**
-   * Ends the connection and all that uses it, at once. The manager hears of it by the socket's end: its
-   * own `abort` would stop listening to a connection that failed a moment before, and whose error is
-   * still to come.
+   * Closes the connection at once, with all its calls and its link. The session manager notices the end of
+   * the socket. Its own `abort` is not used: it would remove the listeners from a connection that has just
+   * failed and whose error is yet to be emitted.
    */
   close(): void {
     this.socket?.destroy();
   }
 
-  /** Opens the stream of a link, on which nothing has been written. Rejects when there is no connection. */
+  /** Opens the stream of a link; nothing is written to it yet. Rejects if there is no connection. */
   async openLink(): Promise<ClientHttp2Stream> {
     const { path, contentType } = LINK_RPC;
     const headers = { 'content-type': contentType, 'connect-protocol-version': '1' };
     const stream = await this.manager.request('POST', path, headers, {});
-    this.adopt(stream);
+    this.trackStream(stream);
     stream.once('response', ({ ':status': status }) => {
-      if (status !== HTTP_OK) stream.destroy(new Error(`the peer has answered with ${status}`));
+      if (status !== HTTP_OK) stream.destroy(new Error(`peer answered with status ${status}`));
     });
-    this.noteAnswers(stream);
+    this.reportActivity(stream);
     return stream;
   }
 
-  /** Has the manager know that the peer is there, so that it sends no pings, at the price of a timer each. */
-  private noteAnswers(stream: ClientHttp2Stream): void {
-    let notedAt = -Infinity;
+  /** Reports received data to the session manager, so that it sends no pings; each report costs a timer. */
+  private reportActivity(stream: ClientHttp2Stream): void {
+    let reportedAt = -Infinity;
     stream.on('data', () => {
       const now = this.timer.now();
-      if (now - notedAt < NOTE_INTERVAL_MS) return;
-      notedAt = now;
+      if (now - reportedAt < ACTIVITY_REPORT_INTERVAL_MS) return;
+      reportedAt = now;
       this.manager.notifyResponseByteRead(stream);
     });
   }
 
-  private giveUp(signal?: AbortSignal): string {
+  private abandonConnect(signal?: AbortSignal): string {
     if (signal?.aborted) return 'the caller has given up';
     if (this.manager.state() === 'connecting') this.close();
     return `no connection within ${this.connectMs} ms`;
   }
 
   /**
-   * Called by the manager for a connection. A second one is refused: for a new connection the manager
-   * would stop listening to the one before, and the error with which that ends later, when a peer that
-   * was gone resets it, would end this process.
+   * Called by the session manager to open a connection. A second connection is refused: the manager would
+   * remove its listeners from the first one, whose later error (when a peer that was unreachable resets it)
+   * would then be unhandled and end this process.
    */
   private createConnection(url: URL): Socket {
     if (this.socket) throw new Error('the connection has ended');
-    const socket = this.tls ? secured(url, this.tls) : connect(hostAndPort(url, DEFAULT_PORT));
-    // When a peer that has said that it stops is lost, Node ends the session without an error, and the
-    // library would wait for ever for what is open. These listeners come before Node's own.
+    const socket = this.tls
+      ? connectWithTls(url, this.tls)
+      : connect(hostAndPort(url, DEFAULT_PORT));
+    // When the connection to a peer that has sent GOAWAY is lost, Node ends the session without an error, and
+    // the RPC library would wait forever for open streams. These listeners run before Node's own.
     socket.on('error', (cause) => this.fail(cause));
     socket.once('close', () => this.fail(new Error('the connection has ended')));
     this.socket = socket;
@@ -151,13 +158,13 @@
     this.streams.forEach((stream) => stream.destroy(cause));
   }
 
-  private transport(baseUrl: string) {
+  private createTransport(baseUrl: string) {
     const { manager } = this;
     const sessionManager = {
       authority: manager.authority,
       request: async (...args: Parameters<Http2SessionManager['request']>) => {
         const stream = await manager.request(...args);
-        this.adopt(stream);
+        this.trackStream(stream);
         return stream;
       },
       notifyResponseByteRead: (stream: ClientHttp2Stream) => manager.notifyResponseByteRead(stream),
@@ -172,32 +179,33 @@
     });
   }
 
-  private adopt(stream: ClientHttp2Stream): void {
+  private trackStream(stream: ClientHttp2Stream): void {
     const { session } = stream;
     if (!session) return;
     this.streams.add(stream);
     stream.once('close', () => this.streams.delete(stream));
-    // A session that has failed waits to write what is queued before it closes its socket. With a peer
-    // that is gone that takes until TCP gives up, so the socket is ended here.
+    // A failed session writes its queued data before it closes its socket. With an unreachable peer
+    // that takes until TCP gives up, so the socket is closed here.
     stream.once('error', () => {
       if (session.destroyed) this.close();
     });
-    if (this.conn) return;
-    this.conn = session;
-    session.once('goaway', () => this.watchEnd(session));
+    if (this.http2Session) return;
+    this.http2Session = session;
+    session.once('goaway', () => this.monitorShutdown(session));
     enlargeSessionWindow(session);
   }
 
   /**
-   * Ends the connection of a peer that stops and then falls silent. Node sends no pings on a session that
-   * the peer is closing, so the library's keep-alive ends there; settings are acknowledged as well.
+   * Closes the connection of a peer that has sent GOAWAY and then stops responding. Node sends no pings on a
+   * session that the peer is closing, so the RPC library's keep-alive does not work there. SETTINGS frames are
+   * sent instead, which the peer has to acknowledge as well.
    */
-  private watchEnd(session: Http2Session): void {
+  private monitorShutdown(session: Http2Session): void {
     let askedAt: number | undefined;
-    const look = (): void => {
+    const probe = (): void => {
       const now = this.timer.now();
-      const isSilent = askedAt !== undefined && now - askedAt >= KEEP_ALIVE.pingTimeoutMs;
-      if (isSilent || session.destroyed) {
+      const isUnresponsive = askedAt !== undefined && now - askedAt >= KEEP_ALIVE.pingTimeoutMs;
+      if (isUnresponsive || session.destroyed) {
         this.close();
         return;
       }
@@ -207,25 +215,28 @@
         askedAt = undefined;
       });
     };
-    const watch = this.timer.every(KEEP_ALIVE.pingIntervalMs, look);
-    this.socket?.once('close', () => watch.cancel());
+    const probes = this.timer.every(KEEP_ALIVE.pingIntervalMs, probe);
+    this.socket?.once('close', () => probes.cancel());
   }
 }
 
-function secured(url: URL, tls: TlsCredentials): Socket {
+function connectWithTls(url: URL, tls: TlsCredentials): Socket {
   return connectTls({
     ...tls.current,
     ...hostAndPort(url, DEFAULT_TLS_PORT),
     ALPNProtocols: ['h2'],
-    // Processes are known by the authority of their certificates, not by addresses, which change.
+    // Processes are authenticated by the authority of their certificates, not by their addresses, which change.
     checkServerIdentity: () => undefined,
   });
 }
 
-/** How often the manager is told that something has arrived on a link, ms: well below the pause before a ping. */
-const NOTE_INTERVAL_MS = 1_000;
+/**
+ * Shortest interval between two activity reports to the session manager, ms: well below the idle time before
+ * a ping.
+ */
+const ACTIVITY_REPORT_INTERVAL_MS = 1_000;
 
 const HTTP_OK = 200;
 
-/** The port that a URL of TLS leaves out. */
+/** Default port of https URLs, which URLs omit. */
 const DEFAULT_TLS_PORT = 443;
--- a/src/link/StreamLink.ts
+++ b/src/link/StreamLink.ts
@@ -9,22 +9,22 @@
 
 const CLOSE_GRACE_MS = 1000;
 
-/** The parts of an open stream that a link is made of. */
-interface Parts {
+/** The parts of a link over an open stream. */
+interface StreamLinkParts {
   readonly timer: TimerService;
-  /** The peer's hello, already checked. */
+  /** The peer's hello, already verified. */
   readonly peer: Hello;
-  /** The frame that began with the peer's hello, which may carry the first messages too. */
+  /** The frame that starts with the peer's hello; it may contain further messages. */
   readonly first?: Frame;
-  /** Frames of the peer that follow. */
+  /** The peer's frames after the first. */
   readonly incoming: AsyncIterator<Frame>;
-  /** What is written to the stream. */
+  /** The send queue, whose frames are written to the stream. */
   readonly outgoing: FrameQueue;
-  /** Ends the stream at once, for when the peer does not take part in its orderly end. */
+  /** Resets the stream, if the peer does not respond to a clean close. */
   readonly reset: () => void;
 }
 
-/** A link over one bidirectional stream, the same on the dialling and the listening side. */
+/** A link over one bidirectional stream; used on both the dialling and the listening side. */
 export default class StreamLink implements Link {
   lastSentAt: number;
 
@@ -32,21 +32,21 @@
 
   failure: string | undefined;
 
-  private readonly end = new AbortController();
+  private readonly closeController = new AbortController();
 
-  private readonly inbox = Inbox.create(() => this.end.abort());
+  private readonly inbox = Inbox.create(() => this.closeController.abort());
 
-  private grace: Subscription | undefined;
+  private closeTimer: Subscription | undefined;
 
-  private streamEnded = false;
+  private hasStreamEnded = false;
 
-  private constructor(private readonly parts: Parts) {
+  private constructor(private readonly parts: StreamLinkParts) {
     this.lastSentAt = parts.timer.now();
     this.lastReceivedAt = this.lastSentAt;
   }
 
-  /** Makes a link of a stream on which both hellos have been exchanged, and starts to read it. */
-  static open(parts: Parts): StreamLink {
+  /** Creates a link over a stream on which both hellos were exchanged, and starts to read it. */
+  static open(parts: StreamLinkParts): StreamLink {
     const link = new StreamLink(parts);
     if (parts.first) link.inbox.push(messagesOf(parts.first).slice(1));
     link.receive().catch(() => link.abort());
@@ -58,11 +58,11 @@
   }
 
   get closed(): AbortSignal {
-    return this.end.signal;
+    return this.closeController.signal;
   }
 
   send(message: PeerMessage): void {
-    if (this.streamEnded || this.closed.aborted) return;
+    if (this.hasStreamEnded || this.closed.aborted) return;
     this.lastSentAt = this.parts.timer.now();
     this.parts.outgoing.send(message);
   }
@@ -80,11 +80,11 @@
     }
     this.parts.outgoing.end();
     this.inbox.abort();
-    if (this.streamEnded) return;
-    this.grace = this.parts.timer.after(CLOSE_GRACE_MS, this.parts.reset);
+    if (this.hasStreamEnded) return;
+    this.closeTimer = this.parts.timer.after(CLOSE_GRACE_MS, this.parts.reset);
   }
 
-  /** Ends the link without writing what is queued. */
+  /** Ends the link without writing the queued messages. */
   abort(): void {
     this.parts.outgoing.abort();
     this.inbox.abort();
@@ -101,11 +101,11 @@
         await this.inbox.waitForSpace();
       }
     } catch (cause) {
-      // A stream that fails ends like one that is closed; the dialling side opens the next link.
+      // A failed stream is handled like a closed one; the dialling side opens the next link.
       if (!this.closed.aborted) this.failure ??= ConnectError.from(cause).rawMessage;
     } finally {
-      this.streamEnded = true;
-      this.grace?.cancel();
+      this.hasStreamEnded = true;
+      this.closeTimer?.cancel();
       this.parts.outgoing.end();
       this.inbox.finish();
     }
--- a/src/link/TlsCredentials.ts
+++ b/src/link/TlsCredentials.ts
@@ -5,63 +5,63 @@
 import type TimerService from '../core/TimerService';
 import type TlsFiles from './TlsFiles';
 
-/** The contents of the files. */
-interface Contents {
+/** Contents of the PEM files. */
+interface PemContents {
   readonly cert: Buffer;
   readonly key: Buffer;
   readonly ca: Buffer;
 }
 
-/** The certificate of a process and the authority it trusts, read again while the process runs. */
+/** The certificate of a process and the authority that it trusts; reloaded when the files change. */
 export default class TlsCredentials {
-  private readonly handlers = new Set<(contents: Contents) => void>();
+  private readonly handlers = new Set<(contents: PemContents) => void>();
 
   private constructor(
     private readonly files: TlsFiles,
-    private contents: Contents,
+    private contents: PemContents,
   ) {}
 
-  /** Reads the files; the error says which can't be read or what does not fit. */
+  /** Reads the files. The error says which file cannot be read, or why the key does not match the certificate. */
   static async load(files: TlsFiles): Promise<Result<TlsCredentials, string>> {
-    return (await read(files)).map((contents) => new TlsCredentials(files, contents));
+    return (await readFiles(files)).map((contents) => new TlsCredentials(files, contents));
   }
 
-  /** What new connections are to use. */
-  get current(): Contents {
+  /** The credentials for new connections. */
+  get current(): PemContents {
     return this.contents;
   }
 
-  /** Calls the handler with each later contents of the files. */
-  subscribe(handler: (contents: Contents) => void): void {
+  /** Calls the handler with the new credentials after each change. */
+  subscribe(handler: (contents: PemContents) => void): void {
     this.handlers.add(handler);
   }
 
   /**
-   * Looks at the files every few seconds. Changed ones are used for new connections once they fit
-   * together; `told` hears of each change, and once of files that can't be used.
+   * Checks the files every few seconds. Changed credentials are used for new connections as soon as they are
+   * valid together. `onReload` is called with undefined after each change, and once with each new problem.
    */
-  watch(timer: TimerService, told: (problem: string | undefined) => void): Subscription {
+  watch(timer: TimerService, onReload: (problem: string | undefined) => void): Subscription {
     let lastProblem: string | undefined;
-    return timer.every(CHECK_MS, () => {
-      read(this.files).then((found) => {
-        const problem = found.isErr() ? found.error : undefined;
-        const isChanged = found.isOk() && !isSame(found.value, this.contents);
-        if (isChanged) this.adopt(found.value);
-        if (isChanged || (problem !== undefined && problem !== lastProblem)) told(problem);
+    return timer.every(CHECK_INTERVAL_MS, () => {
+      readFiles(this.files).then((loaded) => {
+        const problem = loaded.isErr() ? loaded.error : undefined;
+        const isChanged = loaded.isOk() && !areEqual(loaded.value, this.contents);
+        if (isChanged) this.adopt(loaded.value);
+        if (isChanged || (problem !== undefined && problem !== lastProblem)) onReload(problem);
         lastProblem = problem;
       });
     });
   }
 
-  private adopt(contents: Contents): void {
+  private adopt(contents: PemContents): void {
     this.contents = contents;
     this.handlers.forEach((handler) => handler(contents));
   }
 }
 
-const CHECK_MS = 5000;
+const CHECK_INTERVAL_MS = 5000;
 
-async function read({ cert, key, ca }: TlsFiles): Promise<Result<Contents, string>> {
+async function readFiles({ cert, key, ca }: TlsFiles): Promise<Result<PemContents, string>> {
   try {
     const [certText, keyText, caText] = await Promise.all(
       [cert, key, ca].map((file) => readFile(file)),
@@ -74,6 +74,6 @@
   }
 }
 
-function isSame(one: Contents, other: Contents): boolean {
+function areEqual(one: PemContents, other: PemContents): boolean {
   return one.cert.equals(other.cert) && one.key.equals(other.key) && one.ca.equals(other.ca);
 }
--- a/src/link/TlsFiles.ts
+++ b/src/link/TlsFiles.ts
@@ -1,8 +1,8 @@
-/** Paths of the PEM files that processes secure their connections with. */
+/** Paths of the PEM files for mutual TLS between processes. */
 export default interface TlsFiles {
-  /** The certificate of this process, with the ones between it and the authority. */
+  /** The certificate of this process, followed by the intermediate certificates. */
   readonly cert: string;
   readonly key: string;
-  /** The authority that the certificates of all processes come from. */
+  /** The certificate of the authority that issues the certificates of all processes. */
   readonly ca: string;
 }
--- a/src/link/encodeEnvelope.ts
+++ b/src/link/encodeEnvelope.ts
@@ -1,6 +1,6 @@
 import ENVELOPE_HEADER_BYTES from './ENVELOPE_HEADER_BYTES';
 
-/** One envelope of the Connect protocol, to be written as it is. */
+/** Encodes one envelope of the Connect protocol. */
 export default function encodeEnvelope(flags: number, content: Uint8Array): Buffer {
   const envelope = Buffer.allocUnsafe(ENVELOPE_HEADER_BYTES + content.length);
   envelope.writeUInt8(flags, 0);
--- a/src/link/handleMessage.ts
+++ b/src/link/handleMessage.ts
@@ -1,7 +1,7 @@
 import type MessageHandlers from './MessageHandlers';
 import type PeerMessage from './PeerMessage';
 
-/** Hands a message to its handler in the table, if there is one. */
+/** Calls the handler for the kind of a message, if there is one. */
 export default function handleMessage<Context>(
   handlers: MessageHandlers<Context>,
   context: Context,
--- a/src/link/linkEndFields.ts
+++ b/src/link/linkEndFields.ts
@@ -1,6 +1,6 @@
 import type Link from './Link';
 
-/** For the line of a link that has ended: how long it lasted, how long nothing had arrived (ms), and why it broke off. */
+/** Log fields of an ended link: how long it was open, how long nothing had arrived (both in ms), and why it broke. */
 export default function linkEndFields(link: Link, openedAt: number, now: number) {
   return {
     lastedMs: Math.round(now - openedAt),
--- a/src/link/writeFrames.ts
+++ b/src/link/writeFrames.ts
@@ -5,8 +5,8 @@
 import envelopeFlags from './envelopeFlags';
 
 /**
- * Writes frames to a stream of the Connect protocol, the next when the one before has found room.
- * Resolves when all are written or the stream is gone; rejects at a frame that cannot be encoded.
+ * Writes frames to a stream in the Connect protocol, each after the write buffer has space again.
+ * Resolves when all are written or the stream is closed; rejects if a frame cannot be encoded.
  */
 export default async function writeFrames(
   stream: Writable,
@@ -14,14 +14,12 @@
 ): Promise<void> {
   for await (const frame of frames) {
     if (stream.destroyed) return;
-    const isRoomLeft = stream.write(
-      encodeEnvelope(envelopeFlags.none, toBinary(FrameSchema, frame)),
-    );
-    if (!isRoomLeft) await drained(stream);
+    const hasSpace = stream.write(encodeEnvelope(envelopeFlags.none, toBinary(FrameSchema, frame)));
+    if (!hasSpace) await waitForDrain(stream);
   }
 }
 
-function drained(stream: Writable): Promise<void> {
+function waitForDrain(stream: Writable): Promise<void> {
   return new Promise((resolve) => {
     const done = (): void => {
       stream.off('drain', done);
--- a/test/link/EnvelopeDecoder.test.ts
+++ b/test/link/EnvelopeDecoder.test.ts
@@ -23,7 +23,7 @@
 
 test('an envelope that is longer than a frame may be is an error', () => {
   const head = Uint8Array.of(0, 0xff, 0xff, 0xff, 0xff);
-  expect(() => EnvelopeDecoder.create().push(head)).toThrow('a frame of 4294967295 bytes');
+  expect(() => EnvelopeDecoder.create().push(head)).toThrow('frame too long: 4294967295 bytes');
 });
 
 test('bytes that end within an envelope show', () => {
