--- a/test/link/ConnectNetwork.test.ts
+++ b/test/link/ConnectNetwork.test.ts
@@ -43,7 +43,7 @@
   const call = () => near.claim(proxy.address, create(ClaimRequestSchema));
   const dial = () => near.dial(proxy.address, NetworkCase.hello('near'));
 
-  async function ended(link: Link): Promise<void> {
+  async function waitForEnd(link: Link): Promise<void> {
     for await (const message of link.messages()) expect(message).toBeUndefined();
   }
 
@@ -59,27 +59,27 @@
     });
   }
 
-  it('uses one connection for links and calls', async () => {
+  it('uses the same connection for links and calls', async () => {
     await Promise.all([call(), dial(), call(), dial()]);
     expect(proxy.connections).toBe(1);
   });
 
-  it('connects anew after a break', async () => {
+  it('reconnects after the connection broke', async () => {
     const link = valueOf(await dial());
     proxy.break();
     for await (const message of link.messages()) expect(message).toBeUndefined();
     expect((await call()).isOk()).toBe(true);
   });
 
-  // "The link to an entry has ended" stood in the logs of both sides without a word of why: the error that
-  // ended its stream was swallowed.
-  it('keeps why a link has ended, on both sides, and nothing when it was closed', async () => {
+  // Both sides logged "The link to an entry has ended" without the reason: the error that ended the
+  // stream was discarded.
+  it('records on both sides why a link broke, and no failure if it was closed', async () => {
     const links = [valueOf(await dial()), far.servedLinks[0]!];
     proxy.break();
-    await Promise.all(links.map(ended));
+    await Promise.all(links.map(waitForEnd));
     const closed = valueOf(await dial());
     closed.close();
-    await ended(closed);
+    await waitForEnd(closed);
     expect([...links, closed].map(({ failure }) => failure)).toEqual([
       'the connection has ended',
       'Premature close',
@@ -87,7 +87,7 @@
     ]);
   });
 
-  it('says broken when the connection breaks under a call', async () => {
+  it('fails a call as broken when the connection breaks during it', async () => {
     const arrived = hangClaims();
     const pending = call();
     await arrived;
@@ -95,7 +95,7 @@
     expect(errorOf(await pending).kind).toBe('broken');
   });
 
-  it('gives up a dial that gets no hello', async () => {
+  it('fails a dial that receives no hello in time', async () => {
     await call();
     proxy.freeze();
     const pending = dial();
@@ -103,7 +103,7 @@
     expect(errorOf(await pending).kind).toBe('broken');
   });
 
-  it('ends a link whose queue overflows', async () => {
+  it('ends a link whose send queue overflows', async () => {
     const link = valueOf(await dial());
     const credits = [{ slot: 1 }];
     const service = 'x'.repeat(MIB);
@@ -113,9 +113,9 @@
     expect(link.closed.aborted).toBe(true);
   });
 
-  // A peer's hello or its list of entries may hold any text as an address. The dial rejected ("Invalid URL"),
-  // which those who wait for a result do not expect: unhandled, it ended the process.
-  it('has a result for an address that is none', async () => {
+  // An address in a peer's hello or list of entries may be any string. The dial rejected ("Invalid URL") instead
+  // of resolving to an error; callers did not handle the rejection, which ended the process.
+  it('returns an error for an invalid address', async () => {
     const addresses = ['', 'a b', '10.0.0.1:99999', '256.0.0.1:4', ':::1'];
     const dials = addresses.map((address) => near.dial(address, NetworkCase.hello('near')));
     const calls = addresses.map((address) => near.claim(address, create(ClaimRequestSchema)));
@@ -124,7 +124,7 @@
     expect(failures).toEqual(Array(failures.length).fill('unreachable'));
   });
 
-  it('leaves no open connection', async () => {
+  it('leaves no connection open after close', async () => {
     await dial();
     await call();
     near.close();
--- a/test/link/EnvelopeDecoder.test.ts
+++ b/test/link/EnvelopeDecoder.test.ts
@@ -11,7 +11,7 @@
   return envelopes.map(({ flags, content }) => `${flags} ${Buffer.from(content).toString()}`);
 }
 
-test('envelopes are the same however their bytes arrive', () => {
+test('decodes the same envelopes for every split of their bytes into chunks', () => {
   const whole = textsOf([stream]);
   const single = textsOf([...stream].map((byte) => Uint8Array.of(byte)));
   const halves = Array.from({ length: stream.length }, (_, at) =>
@@ -21,12 +21,12 @@
   expect([single, ...halves]).toEqual(Array(1 + stream.length).fill(whole));
 });
 
-test('an envelope that is longer than a frame may be is an error', () => {
+test('throws at an envelope that exceeds the size limit', () => {
   const head = Uint8Array.of(0, 0xff, 0xff, 0xff, 0xff);
   expect(() => EnvelopeDecoder.create().push(head)).toThrow('frame too long: 4294967295 bytes');
 });
 
-test('bytes that end within an envelope show', () => {
+test('reports a partial envelope', () => {
   const splitter = EnvelopeDecoder.create();
   splitter.push(stream.subarray(0, 7));
   expect(splitter.hasPartialEnvelope).toBe(true);
--- a/test/link/KeepAlive.test.ts
+++ b/test/link/KeepAlive.test.ts
@@ -10,30 +10,30 @@
 
 const LIMITS = { intervalMs: 1000, suspectMs: 3000, closeMs: 10_000 };
 
-async function linked() {
+async function openLinks() {
   const timer = ManualTimer.create();
   const network = MemoryNetwork.create(timer);
-  const ends = { near: network.endpoint('near'), far: network.endpoint('far') };
-  const pair = await NetworkCase.start(() => ({ ...ends, close: () => undefined }));
-  const near = await pair.dial();
-  const far = pair.servedLinks[0]!;
-  const told: string[] = [];
-  const keep = (link: Link) =>
+  const endpoints = { near: network.endpoint('near'), far: network.endpoint('far') };
+  const networkCase = await NetworkCase.start(() => ({ ...endpoints, close: () => undefined }));
+  const near = await networkCase.dial();
+  const far = networkCase.servedLinks[0]!;
+  const events: string[] = [];
+  const startKeepAlive = (link: Link) =>
     KeepAlive.start(link, timer, LIMITS, {
       heartbeat,
-      onSuspicionChange: (suspected) => told.push(`${timer.now()} ${suspected}`),
+      onSuspicionChange: (suspected) => events.push(`${timer.now()} ${suspected}`),
     });
-  near.closed.addEventListener('abort', () => told.push(`${timer.now()} closed`));
-  return { timer, network, near, far, told, keep };
+  near.closed.addEventListener('abort', () => events.push(`${timer.now()} closed`));
+  return { timer, network, near, far, events, startKeepAlive };
 }
 
 function heartbeat(): PeerMessage {
   return { case: 'heartbeat', value: create(HeartbeatSchema) };
 }
 
-it('sends heartbeats into silence only', async () => {
-  const { timer, network, near, keep } = await linked();
-  keep(near);
+it('sends heartbeats only on an idle link', async () => {
+  const { timer, network, near, startKeepAlive } = await openLinks();
+  startKeepAlive(near);
   await timer.advance(500);
   near.send({ case: 'inForce', value: { $typeName: 'magnoliakeel.v1.InForce', version: 1n } });
   await timer.advance(3499);
@@ -48,19 +48,19 @@
 });
 
 it('never suspects a peer that sends heartbeats', async () => {
-  const { timer, near, far, told, keep } = await linked();
-  [near, far].forEach(keep);
+  const { timer, near, far, events, startKeepAlive } = await openLinks();
+  [near, far].forEach(startKeepAlive);
   await timer.advance(60_000);
-  expect(told).toEqual([]);
+  expect(events).toEqual([]);
 });
 
-it('suspects a silent peer and clears it when it speaks', async () => {
-  const { timer, near, far, told, keep } = await linked();
-  keep(near);
+it('suspects an unresponsive peer until it sends a message', async () => {
+  const { timer, near, far, events, startKeepAlive } = await openLinks();
+  startKeepAlive(near);
   await timer.advance(4500);
   far.send(heartbeat());
   await timer.advance(1000);
-  expect(told).toMatchInlineSnapshot(`
+  expect(events).toMatchInlineSnapshot(`
     [
       "3000 true",
       "5000 false",
@@ -68,11 +68,11 @@
   `);
 });
 
-it('closes a link that stays silent', async () => {
-  const { timer, near, told, keep } = await linked();
-  keep(near);
+it('closes a link on which nothing arrives', async () => {
+  const { timer, near, events, startKeepAlive } = await openLinks();
+  startKeepAlive(near);
   await timer.advance(30_000);
-  expect(told).toMatchInlineSnapshot(`
+  expect(events).toMatchInlineSnapshot(`
     [
       "3000 true",
       "10000 closed",
@@ -80,31 +80,31 @@
   `);
 });
 
-it('does not blame the peer for its own pause', async () => {
-  const { timer, near, told, keep } = await linked();
-  keep(near);
+it('does not suspect the peer after a pause of its own process', async () => {
+  const { timer, near, events, startKeepAlive } = await openLinks();
+  startKeepAlive(near);
   timer.jump(20_000);
   await timer.advance(1);
-  expect([near.closed.aborted, told]).toEqual([false, []]);
+  expect([near.closed.aborted, events]).toEqual([false, []]);
 });
 
-it('sends nothing after the link closed', async () => {
-  const { timer, network, near, keep } = await linked();
-  keep(near);
+it('sends nothing after the link has closed', async () => {
+  const { timer, network, near, startKeepAlive } = await openLinks();
+  startKeepAlive(near);
   near.close();
   await timer.advance(30_000);
   expect(network.messageCounts()).toEqual({ dial: 1, 'dial.answer': 1 });
 });
 
-it('waits whole milliseconds, so that a rest below the clock can tell does not spin', async () => {
-  const { timer, near, far, keep } = await linked();
+it('rounds delays up to whole milliseconds, so that a remainder below the clock resolution causes no busy loop', async () => {
+  const { timer, near, far, startKeepAlive } = await openLinks();
   const delays: number[] = [];
   const after = timer.after.bind(timer);
   timer.after = (delayMs, handler) => {
     delays.push(delayMs);
     return after(delayMs, handler);
   };
-  keep(near);
+  startKeepAlive(near);
   await timer.advance(500.3);
   [near, far].forEach((link) => link.send(heartbeat()));
   await timer.advance(9000);
--- a/test/link/MemoryNetwork.test.ts
+++ b/test/link/MemoryNetwork.test.ts
@@ -13,33 +13,33 @@
 
 let timer: ManualTimer;
 let network: MemoryNetwork;
-let pair: NetworkCase;
+let networkCase: NetworkCase;
 let near: Link;
 let far: Link;
-let heard: string[];
+let received: string[];
 
 beforeEach(async () => {
   timer = ManualTimer.create();
   network = MemoryNetwork.create(timer);
-  const ends = { near: network.endpoint('near'), far: network.endpoint('far') };
-  pair = await NetworkCase.start(() => ({ ...ends, close: () => undefined }), {
+  const endpoints = { near: network.endpoint('near'), far: network.endpoint('far') };
+  networkCase = await NetworkCase.start(() => ({ ...endpoints, close: () => undefined }), {
     claim: async () => {
-      heard.push('claim');
+      received.push('claim');
       return create(ClaimResponseSchema);
     },
   });
-  near = await pair.dial();
-  far = pair.servedLinks[0]!;
-  heard = [];
-  listen('near', near);
-  listen('far', far);
+  near = await networkCase.dial();
+  far = networkCase.servedLinks[0]!;
+  received = [];
+  recordMessages('near', near);
+  recordMessages('far', far);
 });
 
-async function listen(name: string, link: Link): Promise<void> {
+async function recordMessages(name: string, link: Link): Promise<void> {
   for await (const { value } of link.messages()) {
-    heard.push(`${name}:${(value as { service: string }).service}`);
+    received.push(`${name}:${(value as { service: string }).service}`);
   }
-  heard.push(`${name} ended`);
+  received.push(`${name} ended`);
 }
 
 function grant(link: Link, service: string): void {
@@ -51,7 +51,7 @@
 }
 
 function claim(): Promise<string> {
-  const called = pair.near.claim(pair.listener.address, create(ClaimRequestSchema));
+  const called = networkCase.near.claim(networkCase.listener.address, create(ClaimRequestSchema));
   return Promise.resolve(
     called.match(
       () => 'answered',
@@ -61,26 +61,29 @@
 }
 
 async function redial(): Promise<string> {
-  const dialled = await pair.near.dial(pair.listener.address, NetworkCase.hello('near'));
+  const dialled = await networkCase.near.dial(
+    networkCase.listener.address,
+    NetworkCase.hello('near'),
+  );
   return dialled.match(
     () => 'linked',
     ({ kind }) => kind,
   );
 }
 
-it('passes copies', async () => {
+it('delivers copies of messages', async () => {
   const value = create(GrantSchema, { service: 'before' });
   near.send({ case: 'grant', value });
   value.service = 'after';
   await ManualTimer.settle();
-  expect(heard).toEqual(['far:before']);
+  expect(received).toEqual(['far:before']);
 });
 
-it('cuts links and refuses calls until joined', async () => {
+it('breaks links and refuses calls during a partition', async () => {
   network.partition('near', 'far');
   const refused = [await claim(), await redial()];
   network.heal('near', 'far');
-  expect([heard, refused, await redial()]).toMatchInlineSnapshot(`
+  expect([received, refused, await redial()]).toMatchInlineSnapshot(`
     [
       [
         "far ended",
@@ -95,12 +98,12 @@
   `);
 });
 
-it('breaks a call that is under way when cut', async () => {
+it('breaks a pending call when partitioned', async () => {
   network.hold(({ kind }) => kind === 'claim.answer');
   const pending = claim();
   await ManualTimer.settle();
   network.partition('near', 'far');
-  expect([await pending, heard]).toMatchInlineSnapshot(`
+  expect([await pending, received]).toMatchInlineSnapshot(`
     [
       "broken",
       [
@@ -110,14 +113,14 @@
   `);
 });
 
-it('loses messages one way without a word', async () => {
+it('drops messages silently in one direction', async () => {
   network.blackhole('near', 'far', 'one');
   grant(near, 'lost');
   grant(far, 'kept');
   await ManualTimer.settle();
   near.close();
   await timer.advance(60_000);
-  expect([heard, far.closed.aborted]).toMatchInlineSnapshot(`
+  expect([received, far.closed.aborted]).toMatchInlineSnapshot(`
     [
       [
         "near:kept",
@@ -128,43 +131,43 @@
   `);
 });
 
-it('ends calls into silence', async () => {
+it('fails calls to an unresponsive peer', async () => {
   network.blackhole('near', 'far');
   const pending = Promise.all([claim(), redial()]);
   await timer.advance(15_000);
   expect(await pending).toEqual(['broken', 'broken']);
 });
 
-it('delays in order', async () => {
+it('keeps the order of delayed messages', async () => {
   network.delay('near', 'far', 5);
   grant(near, 'slow');
   network.delay('near', 'far', 0);
   grant(near, 'next');
   await timer.advance(4);
-  const before = [...heard];
+  const before = [...received];
   await timer.advance(1);
-  expect([before, heard]).toEqual([[], ['far:slow', 'far:next']]);
+  expect([before, received]).toEqual([[], ['far:slow', 'far:next']]);
 });
 
-it('holds and reorders', async () => {
+it('holds messages back and releases them in reverse order', async () => {
   const held = network.hold(({ kind, from }) => kind === 'grant' && from === 'near');
   ['one', 'two'].forEach((service) => grant(near, service));
   withdraw(near, 'passing');
   await ManualTimer.settle();
   held.release('reversed');
   await ManualTimer.settle();
-  expect(heard).toEqual(['far:passing', 'far:two', 'far:one']);
+  expect(received).toEqual(['far:passing', 'far:two', 'far:one']);
 });
 
-it('keeps what a paused instance is sent and sends', async () => {
+it('queues messages to and from a paused instance', async () => {
   network.pause('far');
   grant(near, 'waiting');
   grant(far, 'stuck');
   const pending = claim();
   await timer.advance(1000);
-  const before = [...heard];
+  const before = [...received];
   network.resume('far');
-  expect([before, await pending, heard.sort()]).toMatchInlineSnapshot(`
+  expect([before, await pending, received.sort()]).toMatchInlineSnapshot(`
     [
       [],
       "answered",
@@ -177,24 +180,25 @@
   `);
 });
 
-it('delivers to a resumed instance what its caller gave up on', async () => {
+it('delivers to a resumed instance a call that its caller has given up', async () => {
   network.pause('far');
   const pending = claim();
   await timer.advance(15_000);
   const outcome = await pending;
   network.resume('far');
   await ManualTimer.settle();
-  expect([outcome, heard]).toEqual(['broken', ['claim']]);
+  expect([outcome, received]).toEqual(['broken', ['claim']]);
 });
 
-it('leaves no link behind after a dial that was given up', async () => {
+it('leaves no link open after a dial that was given up', async () => {
   network.pause('far');
   const pending = redial();
   await timer.advance(5000);
   const outcome = await pending;
   network.resume('far');
   await ManualTimer.settle();
-  expect([outcome, pair.servedLinks.map(({ closed }) => closed.aborted)]).toMatchInlineSnapshot(`
+  expect([outcome, networkCase.servedLinks.map(({ closed }) => closed.aborted)])
+    .toMatchInlineSnapshot(`
     [
       "broken",
       [
@@ -205,12 +209,12 @@
   `);
 });
 
-it('shows a killed instance to others only', async () => {
+it('ends the links of a killed instance for its peers only', async () => {
   grant(far, 'last');
   network.kill('far');
   grant(far, 'after');
   await ManualTimer.settle();
-  expect([heard, far.closed.aborted, await claim()]).toMatchInlineSnapshot(`
+  expect([received, far.closed.aborted, await claim()]).toMatchInlineSnapshot(`
     [
       [
         "near:last",
--- a/test/link/PeerSession.test.ts
+++ b/test/link/PeerSession.test.ts
@@ -15,9 +15,9 @@
 import valueOf from '../support/valueOf';
 
 const MIB = 1024 * 1024;
-/** One call fills the window of its stream, and these the buffers of the kernel. */
+/** Number of calls that fill the socket buffers of the kernel; each fills the window of its stream. */
 const FILLING_CALLS = 14;
-/** Turns of the event loop within which a session ends on loopback. */
+/** Number of event-loop turns within which a session ends on loopback. */
 const ENDING_TURNS = 20;
 const PING_INTERVAL_MS = 5000;
 const PING_TIMEOUT_MS = 10_000;
@@ -34,20 +34,20 @@
 
   const dial = async () => valueOf(await peers.near.dial(peers.address, NetworkCase.hello('near')));
 
-  const ended = async (link: Link) => {
+  const waitForEnd = async (link: Link) => {
     for await (const message of link.messages()) expect(message).toBeUndefined();
   };
 
   const claim = (req: ClaimRequest = create(ClaimRequestSchema)) =>
     peers.near.claim(peers.address, req);
 
-  /** Makes calls whose bodies the kernel does not take while the peer is silent. */
+  /** Makes calls whose bodies exceed the socket buffers while the peer reads nothing. */
   function fillingCalls<T>(call: (req: ClaimRequest) => T): T[] {
     const job = 'x'.repeat(MIB);
     return Array.from({ length: FILLING_CALLS }, () => call(create(ClaimRequestSchema, { job })));
   }
 
-  /** Lets the time pass until a ping has timed out; `meanwhile` is done after the ping. */
+  /** Advances the time until a ping has timed out; `meanwhile` runs after the ping was sent. */
   async function passPing(meanwhile?: () => unknown): Promise<void> {
     await peers.settle();
     await peers.advance(PING_INTERVAL_MS + 1);
@@ -56,25 +56,25 @@
   }
 
   /**
-   * Opens a connection to a peer that falls silent with data queued, up to when its ping times out;
-   * `meanwhile` is done after the ping.
+   * Opens a connection whose peer becomes unresponsive while data is queued, and waits until the ping
+   * times out; `meanwhile` runs after the ping was sent.
    */
   async function loseSilentPeer(meanwhile?: () => unknown): Promise<void> {
     const link = await dial();
     peers.proxy.freeze();
     const calls = fillingCalls(claim);
     await passPing(meanwhile);
-    await Promise.all([ended(link), ...calls]);
+    await Promise.all([waitForEnd(link), ...calls]);
   }
 
-  // An entry ended with all requests that it held, 51 s after a peer had fallen silent:
+  // An entry process ended with all its requests, 51 s after a peer had become unresponsive:
   // "Unhandled 'error' event", "ConnectError: [unavailable] PING timed out", "Emitted 'error' event
-  // on ClientHttp2Session". The ping that timed out had destroyed the session with this error, but
-  // Node emits the error of a destroyed session only when its socket has closed, and the socket
-  // waits until what is queued has been written. A dial in between made the library take its
-  // listeners off the old session. When the peer was back and reset the old connection, nobody
-  // listened.
-  it('survives the reset of a connection that it has replaced', async () => {
+  // on ClientHttp2Session". The ping time-out had destroyed the session with this error, but Node
+  // emits the error of a destroyed session only when its socket has closed, and the socket waits
+  // until queued data has been written. A dial in between made the RPC library remove its listeners
+  // from the old session. When the peer was reachable again and reset the old connection, the error
+  // had no listener.
+  it('survives the reset of a connection that was replaced', async () => {
     await loseSilentPeer();
     const link = await dial();
     peers.proxy.reset();
@@ -85,10 +85,10 @@
     expect(value?.case).toBe('heartbeat');
   });
 
-  // The same words, "PING timed out", without a dial: closing a session takes the library's listeners
-  // off as well, and the listener that it adds for the errors to come goes only to a session that is
-  // not destroyed yet.
-  it('survives the reset of a connection that it has closed', async () => {
+  // The same error, "PING timed out", without a dial: closing a session removes the RPC library's
+  // listeners as well, and the library adds a listener for later errors only to a session that is not
+  // destroyed yet.
+  it('survives the reset of a connection that was closed', async () => {
     await loseSilentPeer();
     peers.near.close();
     peers.proxy.reset();
@@ -96,12 +96,12 @@
     expect(peers.uncaught.errors).toEqual([]);
   });
 
-  // A peer that ends in good order sends GOAWAY. The library then destroys a session without streams
-  // with an error, "[canceled] received GOAWAY without any open streams", which Node emits a turn of
-  // the event loop later, when the socket has closed. A call within that turn opens the next session
-  // and takes the listeners off this one. As many processes as turns, each of which calls in a turn
-  // of its own, meet it.
-  it('survives a call in the moment in which its peer ends in good order', async () => {
+  // A peer that shuts down gracefully sends GOAWAY. The RPC library then destroys a session without
+  // streams with an error, "[canceled] received GOAWAY without any open streams", which Node emits a
+  // turn of the event loop later, when the socket has closed. A call within that turn opens the next
+  // session and removes the listeners from this one. To hit that turn, the test has one calling
+  // process for each turn.
+  it('survives a call while its peer shuts down gracefully', async () => {
     const { address } = peers.far.listener;
     const callers = Array.from({ length: ENDING_TURNS }, () =>
       ConnectNetwork.create(ManualTimer.create()),
@@ -119,12 +119,12 @@
     expect(peers.uncaught.errors).toEqual([]);
   });
 
-  // A call to a silent peer makes the library verify the connection by a ping, and it learns that this
-  // ping timed out from the session's error, so when the socket has closed. By then a dial has opened
-  // the next connection. The library takes that one for the old one: it opens a third, and sends no
-  // pings on the second any more and does not hear its errors, while the link goes on over it. The
-  // next reset ended the process with "Error: read ECONNRESET".
-  it('keeps to the connection that replaced one that was being verified', async () => {
+  // A call to an unresponsive peer makes the RPC library verify the connection by a ping. It learns
+  // of the ping time-out from the session's error, which is emitted only when the socket has closed. By
+  // then a dial has opened the next connection. The library confuses that one with the old one: it
+  // opens a third, sends no more pings on the second and has no error listener on it, while the link
+  // still uses it. The next reset ended the process with "Error: read ECONNRESET".
+  it('keeps using the connection that replaced one that was being verified', async () => {
     await loseSilentPeer(() => claim());
     await dial();
     peers.proxy.reset();
@@ -135,7 +135,7 @@
     expect([peers.uncaught.errors, peers.proxy.connections]).toEqual([[], 2]);
   });
 
-  it('ends the socket of a connection whose ping has timed out, before its peer is back', async () => {
+  it('closes the socket of a connection whose ping has timed out without waiting for the peer', async () => {
     const session = PeerSession.create(peers.address, ManualTimer.create(), 1_000);
     await session.open();
     await session.client.claim({});
@@ -146,7 +146,7 @@
     await calls;
   });
 
-  it('opens no second connection in place of one that has ended', async () => {
+  it('opens no second connection after the first has ended', async () => {
     const session = PeerSession.create(peers.address, ManualTimer.create(), 1_000);
     expect(await session.open()).toBeUndefined();
     peers.proxy.break();
@@ -155,18 +155,22 @@
     expect([session.isClosing, peers.proxy.connections]).toEqual([true, 1]);
   });
 
-  it('calls anew after a connection that was opened and never used has idled out', async () => {
-    const gone = new AbortController();
-    const given = peers.near.forward(peers.address, create(ForwardRequestSchema), gone.signal);
-    gone.abort();
-    await given;
+  it('can call again after an unused connection was closed as idle', async () => {
+    const caller = new AbortController();
+    const abandoned = peers.near.forward(
+      peers.address,
+      create(ForwardRequestSchema),
+      caller.signal,
+    );
+    caller.abort();
+    await abandoned;
     await peers.settle();
     peers.proxy.freeze();
     await peers.advance(IDLE_LIMIT_MS);
     expect([peers.proxy.connections, (await claim()).isOk()]).toEqual([1, true]);
   });
 
-  it('closes connections that were replaced, too', async () => {
+  it('closes replaced connections as well', async () => {
     const link = await dial();
     link.send({ case: 'heartbeat', value: create(HeartbeatSchema) });
     const end = peers.far.listener.close();
--- a/test/link/PeerShutdown.test.ts
+++ b/test/link/PeerShutdown.test.ts
@@ -8,11 +8,11 @@
 const PING_INTERVAL_MS = 5000;
 const PING_TIMEOUT_MS = 10_000;
 
-describe('a peer that stops in good order before its last answer', () => {
+describe('a peer that shuts down gracefully before its last answer', () => {
   let peers: ProxiedCase;
   let failure: CallError | undefined;
 
-  // A call waits for its answer, and the peer has said that it stops.
+  // A call waits for its answer, and the peer has sent GOAWAY.
   beforeEach(async () => {
     let arrived: () => void;
     const taken = new Promise<void>((resolve) => {
@@ -37,8 +37,8 @@
 
   afterEach(() => peers.close());
 
-  // A call waited for ever. Node ends a session without an error when its connection is reset after
-  // a GOAWAY, and its streams close with the code NO_ERROR, which the library takes for no failure.
+  // The call waited forever. When a connection is reset after GOAWAY, Node ends the session without an
+  // error and closes its streams with the code NO_ERROR, which the RPC library does not treat as a failure.
   it('fails the call when the connection is reset', async () => {
     peers.proxy.reset();
     await peers.settle();
@@ -46,9 +46,9 @@
     expect(peers.uncaught.errors).toEqual([]);
   });
 
-  // A call waited for ever. Node answers the pings of a session that has got a GOAWAY itself, at once
-  // and as cancelled, so the library's watch ends with the first of them and nothing times out.
-  it('fails the call when the peer is silent for longer than a ping may take', async () => {
+  // The call waited forever. On a session that has received GOAWAY, Node calls back pings itself, at once
+  // and as cancelled, so the RPC library's keep-alive ends with the first ping and nothing times out.
+  it('fails the call when the peer is unresponsive for longer than the ping time-out', async () => {
     await peers.advance(PING_INTERVAL_MS);
     await peers.advance(PING_TIMEOUT_MS);
     expect(failure?.kind).toBe('broken');
--- a/test/link/libraryInterop.test.ts
+++ b/test/link/libraryInterop.test.ts
@@ -18,12 +18,13 @@
 import NetworkCase from '../support/NetworkCase';
 import valueOf from '../support/valueOf';
 
-// Processes of an earlier version have the RPC library read and write their links, and are replaced one by one.
+// In earlier versions the RPC library reads and writes the links. During an upgrade processes are replaced one by
+// one, so both versions have to work together.
 
-const ends: (() => unknown)[] = [];
+const cleanups: (() => unknown)[] = [];
 
 afterEach(async () => {
-  for (const end of ends.splice(0)) await end();
+  for (const cleanUp of cleanups.splice(0)) await cleanUp();
 });
 
 const heartbeat: PeerMessage = { case: 'heartbeat', value: create(HeartbeatSchema) };
@@ -32,7 +33,7 @@
   return create(FrameSchema, { messages: kinds.map((kind) => create(MessageSchema, { kind })) });
 }
 
-function helloOf(instance: string): PeerMessage {
+function helloMessage(instance: string): PeerMessage {
   return { case: 'hello', value: NetworkCase.hello(instance) };
 }
 
@@ -40,12 +41,12 @@
   return messages.map(({ kind }) => kind.case);
 }
 
-test('a process links to one whose links the library serves', async () => {
+test('links to a process whose links are served by the RPC library', async () => {
   const routes = connectNodeAdapter({
     routes: (router) =>
       router.service(Peer, {
         async *link(frames) {
-          yield frameOf(helloOf('far'));
+          yield frameOf(helloMessage('far'));
           for await (const frame of frames) yield frame;
         },
       }),
@@ -56,7 +57,7 @@
   });
   const { port } = server.address() as AddressInfo;
   const network = ConnectNetwork.create(ManualTimer.create());
-  ends.push(
+  cleanups.push(
     () => server.close(),
     () => network.close(),
   );
@@ -74,7 +75,7 @@
   ]);
 });
 
-test('a process serves the links of one that dials by the library', async () => {
+test('serves the links of a process that dials with the RPC library', async () => {
   const far = await NetworkCase.start(NetworkCase.implementations.connect!, {
     link: async (link) => {
       link.send(heartbeat);
@@ -82,13 +83,13 @@
     },
   });
   const session = PeerSession.create(far.listener.address, ManualTimer.create(), 1_000);
-  ends.push(
+  cleanups.push(
     () => session.close(),
     () => far.stop(),
   );
   await session.open();
   async function* frames(): AsyncGenerator<Frame> {
-    yield frameOf(helloOf('near'));
+    yield frameOf(helloMessage('near'));
     yield frameOf(heartbeat);
     await never();
   }
--- a/test/link/networkContract.test.ts
+++ b/test/link/networkContract.test.ts
@@ -28,40 +28,40 @@
   afterEach(() => current.stop());
 
   it('exchanges hellos', async () => {
-    const { servedLinks: served } = await start();
+    const { servedLinks } = await start();
     const link = await current.dial();
-    expect([link.peer.instance, served[0]?.peer.instance]).toEqual(['far', 'near']);
+    expect([link.peer.instance, servedLinks[0]?.peer.instance]).toEqual(['far', 'near']);
   });
 
-  it('keeps the order both ways', async () => {
-    const { servedLinks: served } = await start();
+  it('keeps the order in both directions', async () => {
+    const { servedLinks } = await start();
     const link = await current.dial();
     sendGrants(link, 'near', 500);
-    sendGrants(served[0]!, 'far', 500);
-    const read = await Promise.all([take(link, 500), take(served[0]!, 500)]);
+    sendGrants(servedLinks[0]!, 'far', 500);
+    const read = await Promise.all([take(link, 500), take(servedLinks[0]!, 500)]);
     expect(read).toEqual([names('far', 500), names('near', 500)]);
   });
 
-  it('delivers what the listener sends as the link opens', async () => {
+  it('delivers what the listener sends while the link opens', async () => {
     await start({ link: async (link) => sendGrants(link, 'first', 2) });
     expect(await take(await current.dial(), 3)).toEqual(names('first', 2));
   });
 
-  it('delivers what was sent before an orderly end', async () => {
-    const { servedLinks: served } = await start();
+  it('delivers what was sent before a clean close', async () => {
+    const { servedLinks } = await start();
     const link = await current.dial();
-    sendGrants(served[0]!, 'last', 3);
-    served[0]!.close();
+    sendGrants(servedLinks[0]!, 'last', 3);
+    servedLinks[0]!.close();
     expect(await take(link, 4)).toEqual(names('last', 3));
     expect(link.closed.aborted).toBe(true);
   });
 
-  it('ends for the listener when the dialler closes', async () => {
-    const { servedLinks: served } = await start();
+  it('ends for the listener when the dialling side closes', async () => {
+    const { servedLinks } = await start();
     const link = await current.dial();
     link.close();
-    expect(await take(served[0]!, 1)).toEqual([]);
-    expect([link.closed.aborted, served[0]!.closed.aborted]).toEqual([true, true]);
+    expect(await take(servedLinks[0]!, 1)).toEqual([]);
+    expect([link.closed.aborted, servedLinks[0]!.closed.aborted]).toEqual([true, true]);
   });
 
   it('ends links when the listener closes', async () => {
@@ -72,11 +72,11 @@
   });
 
   it('ignores what is sent after the end', async () => {
-    const { servedLinks: served } = await start();
+    const { servedLinks } = await start();
     const link = await current.dial();
     link.close();
     sendGrants(link, 'late', 1);
-    expect(await take(served[0]!, 1)).toEqual([]);
+    expect(await take(servedLinks[0]!, 1)).toEqual([]);
   });
 
   it.each([
@@ -91,7 +91,7 @@
     expect(current.servedLinks).toEqual([]);
   });
 
-  it('says unreachable when nobody listens', async () => {
+  it('fails as unreachable when nobody listens', async () => {
     await start();
     const { address } = current.listener;
     await current.listener.close();
@@ -101,7 +101,7 @@
     expect(errors.map(({ kind }) => kind)).toEqual(['unreachable', 'unreachable']);
   });
 
-  it('answers calls beside a link', async () => {
+  it('answers calls while a link is open', async () => {
     await start();
     await current.dial();
     const { address } = current.listener;
@@ -130,7 +130,7 @@
     expect(sizes).toEqual([BODY_BYTES, BODY_BYTES]);
   });
 
-  it('says broken when the caller gives up on a call that arrived', async () => {
+  it('fails as broken when the caller gives up a call that has arrived', async () => {
     const stop = new AbortController();
     const forward = () => {
       stop.abort();
@@ -142,13 +142,13 @@
     expect(errorOf(done).kind).toBe('broken');
   });
 
-  it('says broken when the handler fails', async () => {
+  it('fails as broken when the handler throws', async () => {
     await start({ claim: () => Promise.reject(new Error('fault')) });
     const done = await current.near.claim(current.listener.address, create(ClaimRequestSchema));
     expect(errorOf(done).kind).toBe('broken');
   });
 
-  it('says unreachable when the caller gave up before the call', async () => {
+  it('fails as unreachable when the caller gave up before the call', async () => {
     await start();
     const req = create(ForwardRequestSchema);
     const { address } = current.listener;
@@ -156,12 +156,12 @@
     expect(errorOf(done).kind).toBe('unreachable');
   });
 
-  it('opens a new link after an end', async () => {
-    const { servedLinks: served } = await start();
+  it('opens a new link after the previous one has ended', async () => {
+    const { servedLinks } = await start();
     (await current.dial()).close();
     const link = await current.dial();
     sendGrants(link, 'again', 1);
-    expect(await take(served[1]!, 1)).toEqual(names('again', 1));
+    expect(await take(servedLinks[1]!, 1)).toEqual(names('again', 1));
   });
 });
 
@@ -177,7 +177,7 @@
   names(prefix, count).forEach((name) => link.send(grantOf(name)));
 }
 
-/** The services of the next grants; fewer when the link ends before. */
+/** The services of the next grants; fewer if the link ends before. */
 async function take(link: Link, count: number): Promise<string[]> {
   const services: string[] = [];
   for await (const message of link.messages()) {
--- a/test/link/tls.test.ts
+++ b/test/link/tls.test.ts
@@ -16,7 +16,7 @@
 
 const FIXTURES = path.join(import.meta.dirname, '../fixtures/tls');
 
-/** Far listens as "one"; near has the credentials given. */
+/** Far listens with the certificate "one"; near uses the given credentials. */
 async function open(near: TlsCredentials | undefined, far?: TlsCredentials): Promise<NetworkCase> {
   const timer = SystemTimer.create();
   const farTls = far ?? (await credentialsOf('one'));
@@ -33,7 +33,7 @@
 const call = ({ near, listener }: NetworkCase) =>
   near.inspect(listener.address, create(InspectRequestSchema));
 
-/** The name in the certificate that a new connection is shown. */
+/** The common name in the certificate that a new connection receives. */
 function shownBy({ listener }: NetworkCase, tls: TlsCredentials): Promise<string> {
   const [host, port] = listener.address.split(':');
   return new Promise((resolve, reject) => {
@@ -47,14 +47,14 @@
   });
 }
 
-test('processes with certificates of one authority reach each other', async () => {
+test('processes with certificates of the same authority can connect', async () => {
   const opened = await open(await credentialsOf('two'));
   expect(valueOf(await call(opened)).instance).toBe('far');
   const link = await opened.dial();
   expect(link.peer.instance).toBe('far');
 });
 
-test('a process without TLS or of another authority is refused', async () => {
+test('a process without TLS or with a certificate of another authority is refused', async () => {
   const kinds = [
     errorOf(await call(await open(undefined))),
     errorOf(await call(await open(await credentialsOf('stranger')))),
@@ -69,18 +69,18 @@
   `);
 });
 
-test('a changed certificate is shown without a restart, an unusable one is not', async () => {
+test('a changed certificate is used without a restart, an unusable one is not', async () => {
   const folder = await mkdtemp(path.join(tmpdir(), 'tls-'));
   onTestFinished(() => rm(folder, { recursive: true }));
-  const put = (from: string, to: string) =>
+  const copyFixture = (from: string, to: string) =>
     copyFile(path.join(FIXTURES, from), path.join(folder, to));
-  await put('ca.pem', 'ca.pem');
-  await put('one.pem', 'my.pem');
-  await put('one.key', 'my.key');
+  await copyFixture('ca.pem', 'ca.pem');
+  await copyFixture('one.pem', 'my.pem');
+  await copyFixture('one.key', 'my.key');
   const far = await credentialsOf('my', folder);
   const timer = ManualTimer.create();
   const told: (string | undefined)[] = [];
-  const look = async () => {
+  const checkFiles = async () => {
     const before = told.length;
     await timer.advance(5000);
     await expect.poll(() => told.length).toBeGreaterThan(before);
@@ -89,11 +89,11 @@
   const near = await credentialsOf('two');
   const opened = await open(near, far);
   const shown = [await shownBy(opened, near)];
-  await put('two.pem', 'my.pem');
-  await look();
+  await copyFixture('two.pem', 'my.pem');
+  await checkFiles();
   shown.push(await shownBy(opened, near));
-  await put('two.key', 'my.key');
-  await look();
+  await copyFixture('two.key', 'my.key');
+  await checkFiles();
   shown.push(await shownBy(opened, near));
   expect({ shown, told }).toMatchInlineSnapshot(`
     {
--- a/test/membership/Membership.test.ts
+++ b/test/membership/Membership.test.ts
@@ -3,9 +3,9 @@
 import outcome from '../support/outcome';
 import formatView from '../support/formatView';
 
-const twelve = [...'abcdefghijkl'];
+const twelveNames = [...'abcdefghijkl'];
 
-test('entries that join at once are all in the view', async () => {
+test('entries that join concurrently are all in the view', async () => {
   const entries = await new MembershipCase().startAll('a', 'b');
   expect(entries.map(({ views }) => formatView(views.current))).toMatchInlineSnapshot(`
     [
@@ -15,11 +15,11 @@
   `);
 });
 
-test('joins once although the answer is lost after the effect', async () => {
-  const it = new MembershipCase();
-  const { engine, timer } = it;
+test('joins only once if the answer to its write is lost', async () => {
+  const fixture = new MembershipCase();
+  const { engine, timer } = fixture;
   engine.setFaults({ slowMs: 10 });
-  const { views } = it.start('a');
+  const { views } = fixture.start('a');
   await timer.advance(35);
   engine.setFaults({ slowMs: 10, answerLost: true });
   await timer.advance(10);
@@ -33,25 +33,25 @@
   `);
 });
 
-test('removes once although the answer is lost after the effect', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a', 'b', 'c');
-  it.suspected.add('c');
-  it.engine.setFaults({ answerLost: true });
-  await it.expireLease('c');
+test('removes a member only once if the answer to the write is lost', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a', 'b', 'c');
+  fixture.suspected.add('c');
+  fixture.engine.setFaults({ answerLost: true });
+  await fixture.expireLease('c');
   expect(formatView(a?.views.current)).toMatchInlineSnapshot(`"4: a b (1: a, 2: a c, 3: a c b)"`);
 });
 
-test('an outage freezes the view, and its end removes only who had lapsed before', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a', 'b', 'c');
-  await it.expireLease('c');
-  it.engine.setFaults({ down: true });
-  it.suspected.add('b').add('c');
-  await it.timer.advance(600_000);
+test('a store outage does not change the view, and after it only members that had expired before are removed', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a', 'b', 'c');
+  await fixture.expireLease('c');
+  fixture.engine.setFaults({ down: true });
+  fixture.suspected.add('b').add('c');
+  await fixture.timer.advance(600_000);
   const frozen = formatView(a?.views.current);
-  it.engine.setFaults({});
-  await it.timer.advance(60_000);
+  fixture.engine.setFaults({});
+  await fixture.timer.advance(60_000);
   expect([frozen, formatView(a?.views.current)]).toMatchInlineSnapshot(`
     [
       "3: a b c (1: a, 2: a c)",
@@ -60,39 +60,39 @@
   `);
 });
 
-test('a lease taken again keeps its holder in the view, even when the news is late', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a', 'b');
-  await it.expireLease('b');
-  it.engine.setFaults({ down: true }, 'a');
-  it.engine.setFaults({}, 'b');
-  await it.timer.advance(6_000);
-  it.suspected.add('b');
-  it.engine.setFaults({}, 'a');
-  await it.timer.advance(60_000);
+test('a member with a new lease stays in the view, even if others learn of the lease late', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a', 'b');
+  await fixture.expireLease('b');
+  fixture.engine.setFaults({ down: true }, 'a');
+  fixture.engine.setFaults({}, 'b');
+  await fixture.timer.advance(6_000);
+  fixture.suspected.add('b');
+  fixture.engine.setFaults({}, 'a');
+  await fixture.timer.advance(60_000);
   expect(formatView(a?.views.current)).toMatchInlineSnapshot(`"2: a b (1: a)"`);
 });
 
-test('a lease that ended while the watch was broken is noticed by the listing', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a', 'b');
-  it.suspected.add('b');
-  it.engine.setFaults({ down: true }, 'a');
-  await it.timer.advance(1_000);
-  it.engine.setFaults({ down: true }, 'b');
-  await it.engine.revokeLease('lease-2');
-  it.engine.setFaults({}, 'a');
-  await it.timer.advance(60_000);
+test('a lease that ended while the watch was failing is detected by the next list', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a', 'b');
+  fixture.suspected.add('b');
+  fixture.engine.setFaults({ down: true }, 'a');
+  await fixture.timer.advance(1_000);
+  fixture.engine.setFaults({ down: true }, 'b');
+  await fixture.engine.revokeLease('lease-2');
+  fixture.engine.setFaults({}, 'a');
+  await fixture.timer.advance(60_000);
   expect(formatView(a?.views.current)).toMatchInlineSnapshot(`"3: a (1: a, 2: a b)"`);
 });
 
-test('a lapsed lease removes only with suspicion', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a', 'b');
-  await it.expireLease('b');
+test('a member with an expired lease is removed only once it is suspected', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a', 'b');
+  await fixture.expireLease('b');
   const lapsed = formatView(a?.views.current);
-  it.suspected.add('b');
-  await it.timer.advance(2_000);
+  fixture.suspected.add('b');
+  await fixture.timer.advance(2_000);
   expect([lapsed, formatView(a?.views.current)]).toMatchInlineSnapshot(`
     [
       "2: a b (1: a)",
@@ -101,27 +101,27 @@
   `);
 });
 
-test('suspicion without a lapsed lease removes nobody', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a', 'b');
-  it.suspected.add('b');
-  await it.timer.advance(60_000);
+test('a suspected member with a valid lease is not removed', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a', 'b');
+  fixture.suspected.add('b');
+  await fixture.timer.advance(60_000);
   expect(formatView(a?.views.current)).toMatchInlineSnapshot(`"2: a b (1: a)"`);
 });
 
-test('a member that was paused finds itself removed and stays out', async () => {
-  const it = new MembershipCase();
-  const [a, b] = await it.startAll('a', 'b');
-  const told: string[] = [];
-  b?.views.subscribe((view) => told.push(formatView(view)));
-  b?.ended.then((reason) => told.push(reason)).catch(() => undefined);
-  it.suspected.add('b');
-  await it.expireLease('b');
-  it.engine.setFaults({}, 'b');
-  await it.timer.advance(60_000);
-  it.start('b2', 'b');
-  await it.timer.advance(1_000);
-  expect([...told, formatView(a?.views.current)]).toMatchInlineSnapshot(`
+test('a member that was paused learns of its removal and does not rejoin', async () => {
+  const fixture = new MembershipCase();
+  const [a, b] = await fixture.startAll('a', 'b');
+  const events: string[] = [];
+  b?.views.subscribe((view) => events.push(formatView(view)));
+  b?.ended.then((reason) => events.push(reason)).catch(() => undefined);
+  fixture.suspected.add('b');
+  await fixture.expireLease('b');
+  fixture.engine.setFaults({}, 'b');
+  await fixture.timer.advance(60_000);
+  fixture.start('b2', 'b');
+  await fixture.timer.advance(1_000);
+  expect([...events, formatView(a?.views.current)]).toMatchInlineSnapshot(`
     [
       "3: a (1: a, 2: a b)",
       "removed",
@@ -131,11 +131,11 @@
   `);
 });
 
-test('a new incarnation replaces the older one of its instance', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a');
-  const b = it.start('a2', 'a');
-  await it.timer.advance(1_000);
+test('a new incarnation replaces the previous one of its instance', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a');
+  const b = fixture.start('a2', 'a');
+  await fixture.timer.advance(1_000);
   expect([await a?.ended, formatView(b.views.current)]).toMatchInlineSnapshot(`
     [
       "removed",
@@ -144,12 +144,12 @@
   `);
 });
 
-test('leaves the view and gives its lease back', async () => {
-  const it = new MembershipCase();
-  const [a, b] = await it.startAll('a', 'b');
+test('leaves the view and revokes its lease', async () => {
+  const fixture = new MembershipCase();
+  const [a, b] = await fixture.startAll('a', 'b');
   await b?.membership.leave();
-  await it.timer.advance(1_000);
-  const key = await outcome(it.engine.get('entries/b'));
+  await fixture.timer.advance(1_000);
+  const key = await outcome(fixture.engine.get('entries/b'));
   expect([await b?.ended, key, formatView(a?.views.current)]).toMatchInlineSnapshot(`
     [
       "stopped",
@@ -159,14 +159,14 @@
   `);
 });
 
-test('never joins again once removed, even if it never saw itself join', async () => {
-  const it = new MembershipCase();
-  const [a] = await it.startAll('a', 'b');
-  it.suspected.add('b');
-  await it.expireLease('b');
-  it.engine.setFaults({}, 'b');
-  const again = it.start('b');
-  await it.timer.advance(1_000);
+test('a removed incarnation never rejoins, even if it never saw itself as a member', async () => {
+  const fixture = new MembershipCase();
+  const [a] = await fixture.startAll('a', 'b');
+  fixture.suspected.add('b');
+  await fixture.expireLease('b');
+  fixture.engine.setFaults({}, 'b');
+  const again = fixture.start('b');
+  await fixture.timer.advance(1_000);
   expect([await again.ended, formatView(a?.views.current)]).toMatchInlineSnapshot(`
     [
       "removed",
@@ -175,28 +175,30 @@
   `);
 });
 
-test('does not write to a store that lost its view', async () => {
-  const it = new MembershipCase();
-  await it.startAll('a', 'b');
-  await it.engine.remove('view');
-  it.suspected.add('b');
-  await it.expireLease('b');
-  expect(await outcome(it.engine.get('view'))).toBe('nothing');
+test('does not write to a store that has lost its view', async () => {
+  const fixture = new MembershipCase();
+  await fixture.startAll('a', 'b');
+  await fixture.engine.remove('view');
+  fixture.suspected.add('b');
+  await fixture.expireLease('b');
+  expect(await outcome(fixture.engine.get('view'))).toBe('nothing');
 });
 
-test('twelve entries keep to the budget of calls', async () => {
-  const it = new MembershipCase();
-  await it.startAll(...twelve);
-  expect(await it.countCallsDuring(600_000)).toMatchInlineSnapshot(`"renewLease 2400, watch 240"`);
+test('twelve entries stay within the budget of store calls', async () => {
+  const fixture = new MembershipCase();
+  await fixture.startAll(...twelveNames);
+  expect(await fixture.countCallsDuring(600_000)).toMatchInlineSnapshot(
+    `"renewLease 2400, watch 240"`,
+  );
 });
 
-test('an outage and its end bring no storm of calls', async () => {
-  const it = new MembershipCase();
-  await it.startAll(...twelve);
-  it.engine.setFaults({ down: true });
-  const down = await it.countCallsDuring(600_000);
-  it.engine.setFaults({});
-  expect([down, await it.countCallsDuring(60_000)]).toMatchInlineSnapshot(`
+test('a store outage and its end cause no burst of calls', async () => {
+  const fixture = new MembershipCase();
+  await fixture.startAll(...twelveNames);
+  fixture.engine.setFaults({ down: true });
+  const down = await fixture.countCallsDuring(600_000);
+  fixture.engine.setFaults({});
+  expect([down, await fixture.countCallsDuring(60_000)]).toMatchInlineSnapshot(`
     [
       "list 285, renewLease 2440",
       "list 12, renewLease 236, watch 23",
--- a/test/membership/StoreWatch.test.ts
+++ b/test/membership/StoreWatch.test.ts
@@ -8,7 +8,7 @@
   return JSON.stringify({ version, applyId, manifest: { note: applyId }, appliedAt: '' });
 }
 
-/** Applies as an operator's tool does: each apply has an id that it knows its own write by. */
+/** Applies a manifest as the operator's tool does: each apply has an id by which it recognises its own write. */
 function apply({ engine, timer }: MembershipCase, applyId: string) {
   return updateKey({
     store: engine.client(applyId),
@@ -23,12 +23,12 @@
   }).map((item) => item?.value);
 }
 
-test('an apply takes effect once although its answer is lost', async () => {
-  const it = new MembershipCase();
-  it.engine.setFaults({ answerLost: true });
-  const applied = outcome(apply(it, 'first'));
-  await it.timer.advance(1_000);
-  expect([await applied, it.engine.calls().first]).toMatchInlineSnapshot(`
+test('an apply takes effect once if the answer to its write is lost', async () => {
+  const fixture = new MembershipCase();
+  fixture.engine.setFaults({ answerLost: true });
+  const applied = outcome(apply(fixture, 'first'));
+  await fixture.timer.advance(1_000);
+  expect([await applied, fixture.engine.calls().first]).toMatchInlineSnapshot(`
     [
       "{\\version\\:1,\\applyId\\:\\first\\,\\manifest\\:{\\note\\:\\first\\},\\appliedAt\\:\\\\}",
       {
@@ -39,10 +39,10 @@
   `);
 });
 
-test('racing applies both take effect, one after the other', async () => {
-  const it = new MembershipCase();
-  const applied = Promise.all(['one', 'other'].map((id) => outcome(apply(it, id))));
-  await it.timer.advance(1_000);
+test('concurrent applies both take effect, one after the other', async () => {
+  const fixture = new MembershipCase();
+  const applied = Promise.all(['one', 'other'].map((id) => outcome(apply(fixture, id))));
+  await fixture.timer.advance(1_000);
   expect(await applied).toMatchInlineSnapshot(`
     [
       "{\\version\\:1,\\applyId\\:\\one\\,\\manifest\\:{\\note\\:\\one\\},\\appliedAt\\:\\\\}",
@@ -51,13 +51,13 @@
   `);
 });
 
-test('adopts newer configurations and never an older or unreadable one', async () => {
-  const it = new MembershipCase();
-  const { configurations, watch } = it.start('a');
+test('adopts newer configurations, but no older or unparsable ones', async () => {
+  const fixture = new MembershipCase();
+  const { configurations, watch } = fixture.start('a');
   const seen: string[] = [];
   const write = async (value: string): Promise<void> => {
-    await it.engine.put('manifest', value);
-    await it.timer.advance(1_000);
+    await fixture.engine.put('manifest', value);
+    await fixture.timer.advance(1_000);
     const { version, manifest: text } = configurations.current;
     seen.push(`${version} ${text}, unreadable ${watch.unreadableCount}`);
   };
--- a/test/peering/PauseDetector.test.ts
+++ b/test/peering/PauseDetector.test.ts
@@ -5,43 +5,43 @@
 
 const INTERVAL_MS = 400;
 
-/** Gaps noticed with a wall clock that a test can set apart from the steady one. */
-function open() {
+/** A detector whose wall clock can be moved independently of the monotonic one, and the pauses it reports. */
+function createDetector() {
   const timer = ManualTimer.create();
-  const gaps: number[] = [];
+  const pauses: number[] = [];
   let wallAhead = 0;
-  const parted: TimerService = {
+  const clocks: TimerService = {
     now: () => timer.now(),
     wall: () => timer.wall() + wallAhead,
     after: (delayMs, handler) => timer.after(delayMs, handler),
     every: (intervalMs, handler) => timer.every(intervalMs, handler),
     sleep: (delayMs, signal) => timer.sleep(delayMs, signal),
   };
-  const watch = PauseDetector.start(parted, INTERVAL_MS, (gapMs) => gaps.push(gapMs));
+  const detector = PauseDetector.start(clocks, INTERVAL_MS, (pauseMs) => pauses.push(pauseMs));
   const suspend = (ms: number): void => {
     wallAhead += ms;
   };
-  return { timer, gaps, watch, suspend };
+  return { timer, pauses, detector, suspend };
 }
 
-test('a process that runs notices no gap', async () => {
-  const { timer, gaps } = open();
+test('no pause is reported while the process runs', async () => {
+  const { timer, pauses } = createDetector();
   await timer.advance(5_000);
-  expect(gaps).toEqual([]);
+  expect(pauses).toEqual([]);
 });
 
-test('a freeze shows when something that arrived meanwhile is handled', async () => {
-  const { timer, gaps, watch } = open();
+test('a pause is detected by the check before an arrived message is handled', async () => {
+  const { timer, pauses, detector } = createDetector();
   await timer.advance(2 * INTERVAL_MS);
   timer.jump(2_000);
-  watch.check();
-  expect(gaps).toEqual([2_000]);
+  detector.check();
+  expect(pauses).toEqual([2_000]);
 });
 
-test('a suspension shows although the steady clock stood still', async () => {
-  const { timer, gaps, watch, suspend } = open();
+test('a suspension is detected although the monotonic clock stopped', async () => {
+  const { timer, pauses, detector, suspend } = createDetector();
   await timer.advance(1_000);
   suspend(3_000);
-  watch.check();
-  expect(gaps).toEqual([3_000]);
+  detector.check();
+  expect(pauses).toEqual([3_000]);
 });
--- a/test/support/MembershipCase.ts
+++ b/test/support/MembershipCase.ts
@@ -11,7 +11,7 @@
 import Engine from '../../tools/platform/Engine';
 import ManualTimer from './ManualTimer';
 
-/** Entries with their memberships and watches on one stand-in of the store. */
+/** Entries with their memberships and store watches, on one in-memory store. */
 export default class MembershipCase {
   static readonly leaseMs = 9_000;
 
@@ -19,10 +19,10 @@
 
   readonly engine = Engine.create(this.timer);
 
-  /** Incarnations that every entry suspects. */
+  /** Incarnations that the failure detector of every entry suspects. */
   readonly suspected = new Set<string>();
 
-  /** Starts an entry; the incarnation is the name of its client of the store. */
+  /** Starts an entry; its incarnation is also the name of its store client. */
   start(incarnation: string, instance = incarnation) {
     const { timer, engine, suspected } = this;
     const store = engine.client(incarnation);
@@ -39,15 +39,15 @@
       retentionMs: () => 600_000,
       leaseMs: MembershipCase.leaseMs,
     });
-    const onPresent = (present: ReadonlySet<string>): void =>
-      membership.setLiveIncarnations(present);
+    const onLiveIncarnations = (incarnations: ReadonlySet<string>): void =>
+      membership.setLiveIncarnations(incarnations);
     const watch = StoreWatch.create({
       store,
       timer,
       random,
       views,
       configurations,
-      onLiveIncarnations: onPresent,
+      onLiveIncarnations,
     });
     const stop = new AbortController();
     watch.run(stop.signal).catch(() => undefined);
@@ -55,20 +55,20 @@
     return { membership, views, configurations, watch, ended, stop: () => stop.abort() };
   }
 
-  /** Starts several entries at once and lets them join. */
+  /** Starts several entries at once and waits until they have joined. */
   async startAll(...incarnations: string[]) {
     const entries = incarnations.map((incarnation) => this.start(incarnation));
     await this.timer.advance(5_000);
     return entries;
   }
 
-  /** Cuts an entry off from the store for longer than its lease. */
+  /** Isolates an entry from the store for longer than its lease; the isolation stays. */
   async expireLease(incarnation: string): Promise<void> {
     this.engine.setFaults({ down: true }, incarnation);
     await this.timer.advance(MembershipCase.leaseMs + 5_000);
   }
 
-  /** Calls of all entries made in the next while, by kind. */
+  /** Counts the store calls of all entries during the given time, by kind. */
   async countCallsDuring(ms: number): Promise<string> {
     const before = this.totals();
     await this.timer.advance(ms);
--- a/test/support/MemoryEndpoint.ts
+++ b/test/support/MemoryEndpoint.ts
@@ -34,27 +34,27 @@
 const HELLO_TIMEOUT_MS = 5000;
 const SILENCE_MS = 15_000;
 
-/** A process that listens, as the others find it by its address. */
-interface Listening {
+/** A listening process, registered under its address. */
+interface ListeningProcess {
   readonly process: MemoryProcess;
   readonly hello: () => Hello;
   readonly handlers: PeerHandlers;
   readonly links: Set<Link>;
 }
 
-/** What one process sees of the memory network. */
+/** The endpoint of one process on the in-memory network. */
 export default class MemoryEndpoint implements Network {
   private constructor(
     readonly process: MemoryProcess,
     private readonly faults: NetworkFaults,
-    private readonly addresses: Map<string, Listening>,
+    private readonly addresses: Map<string, ListeningProcess>,
   ) {}
 
-  /** Connects a process to the network whose listeners are in the map. */
+  /** Creates the endpoint of a process; the map holds the listeners of the network by address. */
   static of(
     process: MemoryProcess,
     faults: NetworkFaults,
-    addresses: Map<string, Listening>,
+    addresses: Map<string, ListeningProcess>,
   ): MemoryEndpoint {
     return new MemoryEndpoint(process, faults, addresses);
   }
@@ -68,25 +68,25 @@
     req: ForwardRequest,
     signal: AbortSignal,
   ): ResultAsync<ForwardResponse, CallError> {
-    const call = (handlers: PeerHandlers, got: ForwardRequest) => handlers.forward(got);
+    const call = (handlers: PeerHandlers, received: ForwardRequest) => handlers.forward(received);
     const forward = { kind: 'forward', input: ForwardRequestSchema, call };
     return this.call({ ...forward, output: ForwardResponseSchema }, address, req, signal);
   }
 
   claim(address: string, req: ClaimRequest): ResultAsync<ClaimResponse, CallError> {
-    const call = (handlers: PeerHandlers, got: ClaimRequest) => handlers.claim(got);
+    const call = (handlers: PeerHandlers, received: ClaimRequest) => handlers.claim(received);
     const claim = { kind: 'claim', input: ClaimRequestSchema, call };
     return this.call({ ...claim, output: ClaimResponseSchema }, address, req);
   }
 
   handover(address: string, req: HandoverRequest): ResultAsync<HandoverResponse, CallError> {
-    const call = (handlers: PeerHandlers, got: HandoverRequest) => handlers.handover(got);
+    const call = (handlers: PeerHandlers, received: HandoverRequest) => handlers.handover(received);
     const handover = { kind: 'handover', input: HandoverRequestSchema, call };
     return this.call({ ...handover, output: HandoverResponseSchema }, address, req);
   }
 
   inspect(address: string, req: InspectRequest): ResultAsync<InspectResponse, CallError> {
-    const call = (handlers: PeerHandlers, got: InspectRequest) => handlers.inspect(got);
+    const call = (handlers: PeerHandlers, received: InspectRequest) => handlers.inspect(received);
     const inspect = { kind: 'inspect', input: InspectRequestSchema, call };
     return this.call({ ...inspect, output: InspectResponseSchema }, address, req);
   }
@@ -105,7 +105,8 @@
     handlers: PeerHandlers,
   ): Result<Listener, CallError> {
     const address = wanted.replace(/:0$/, `:${FIRST_PORT + this.addresses.size}`);
-    if (this.addresses.get(address)?.process.isAlive) return err(unreachable('address in use'));
+    if (this.addresses.get(address)?.process.isAlive)
+      return err(unreachableError('address in use'));
     const links = new Set<Link>();
     this.addresses.set(address, { process: this.process, hello, handlers, links });
     const close = async () => {
@@ -116,14 +117,14 @@
   }
 
   private async openLink(address: string, hello: Hello): Promise<Result<Link, CallError>> {
-    const target = this.reach(address);
+    const target = this.reachableTarget(address);
     if (!target) return refused();
     let opened: Link | undefined;
     let failed = false;
-    const result = await this.exchange<Link>(target, 'dial', undefined, (answer) => {
-      const objection = helloMismatch(hello, target.hello());
-      if (objection !== undefined) {
-        answer(() => err({ kind: 'broken', reason: objection }));
+    const result = await this.roundTrip<Link>(target, 'dial', undefined, (answer) => {
+      const mismatch = helloMismatch(hello, target.hello());
+      if (mismatch !== undefined) {
+        answer(() => err({ kind: 'broken', reason: mismatch }));
         return;
       }
       const [near, far] = MemoryLink.pair(
@@ -141,7 +142,7 @@
     return result;
   }
 
-  private static serve(target: Listening, link: Link): void {
+  private static serve(target: ListeningProcess, link: Link): void {
     target.links.add(link);
     link.closed.addEventListener('abort', () => target.links.delete(link), { once: true });
     const close = () => link.close();
@@ -159,13 +160,13 @@
     req: MessageShape<I>,
     signal?: AbortSignal,
   ): ResultAsync<MessageShape<O>, CallError> {
-    const target = this.reach(address);
+    const target = this.reachableTarget(address);
     if (!target) return new ResultAsync(refused());
     if (signal?.aborted) {
-      return new ResultAsync(Promise.resolve(err(unreachable('the caller has given up'))));
+      return new ResultAsync(Promise.resolve(err(unreachableError('the caller has given up'))));
     }
     const sent = toBinary(method.input, req);
-    const result = this.exchange<MessageShape<O>>(target, method.kind, signal, (answer) => {
+    const result = this.roundTrip<MessageShape<O>>(target, method.kind, signal, (answer) => {
       method.call(target.handlers, fromBinary(method.input, sent)).then(
         (res) => {
           const bytes = toBinary(method.output, res);
@@ -177,17 +178,17 @@
     return new ResultAsync(result);
   }
 
-  /** Sends a request and waits for its answer, the loss of the connection, or the signal. */
-  private exchange<T>(
-    target: Listening,
+  /** Sends a request; resolves to its answer, or to an error when the connection is lost or the signal aborts. */
+  private roundTrip<T>(
+    target: ListeningProcess,
     kind: string,
     signal: AbortSignal | undefined,
-    serve: (answer: (make: () => Result<T, CallError>) => void) => void,
+    serve: (answer: (makeResult: () => Result<T, CallError>) => void) => void,
   ): Promise<Result<T, CallError>> {
     return new Promise((resolve) => {
       const done = new AbortController();
-      const lost = () => finish(err(broken('the connection was lost')));
-      const back = Pipe.open(target.process, this.process, this.faults, lost);
+      const onLost = () => finish(err(brokenError('the connection was lost')));
+      const back = Pipe.open(target.process, this.process, this.faults, onLost);
       const out = Pipe.open(this.process, target.process, this.faults);
       function finish(result: Result<T, CallError>): void {
         done.abort();
@@ -195,18 +196,20 @@
         out.end();
         resolve(result);
       }
-      signal?.addEventListener('abort', () => finish(err(broken('the caller gave up'))), {
+      signal?.addEventListener('abort', () => finish(err(brokenError('the caller gave up'))), {
         once: true,
         signal: done.signal,
       });
-      this.watchSilence(target, kind, done.signal, finish);
-      out.send(kind, () => serve((make) => back.send(`${kind}.answer`, () => finish(make()))));
+      this.failOnSilence(target, kind, done.signal, finish);
+      out.send(kind, () =>
+        serve((makeResult) => back.send(`${kind}.answer`, () => finish(makeResult()))),
+      );
     });
   }
 
-  /** A process notices in time that the other end of its session says nothing at all. */
-  private async watchSilence<T>(
-    target: Listening,
+  /** Fails a pending call when the peer of the connection has been unresponsive for the time-out. */
+  private async failOnSilence<T>(
+    target: ListeningProcess,
     kind: string,
     done: AbortSignal,
     finish: (result: Result<T, CallError>) => void,
@@ -215,19 +218,20 @@
     while (!done.aborted) {
       await this.faults.timer.sleep(limitMs, done);
       if (done.aborted || !this.process.isAlive) return;
-      if (kind === 'dial' || this.isSilent(target)) finish(err(broken('the peer is silent')));
+      if (kind === 'dial' || this.isUnresponsive(target))
+        finish(err(brokenError('the peer is silent')));
     }
   }
 
-  private isSilent({ process }: Listening): boolean {
+  private isUnresponsive({ process }: ListeningProcess): boolean {
     const { instance } = this.process;
-    const lost =
+    const isBlackholed =
       this.faults.isBlackholed(instance, process.instance) ||
       this.faults.isBlackholed(process.instance, instance);
-    return lost || process.isPaused || !process.isAlive;
+    return isBlackholed || process.isPaused || !process.isAlive;
   }
 
-  private reach(address: string): Listening | undefined {
+  private reachableTarget(address: string): ListeningProcess | undefined {
     const target = this.addresses.get(address);
     if (!target?.process.isAlive) return undefined;
     return this.faults.isPartitioned(this.process.instance, target.process.instance)
@@ -237,13 +241,13 @@
 }
 
 function refused(): Promise<Result<never, CallError>> {
-  return Promise.resolve(err(unreachable('connection refused')));
+  return Promise.resolve(err(unreachableError('connection refused')));
 }
 
-function unreachable(reason: string): CallError {
+function unreachableError(reason: string): CallError {
   return { kind: 'unreachable', reason };
 }
 
-function broken(reason: string): CallError {
+function brokenError(reason: string): CallError {
   return { kind: 'broken', reason };
 }
--- a/test/support/MemoryLink.ts
+++ b/test/support/MemoryLink.ts
@@ -8,7 +8,7 @@
 import type MemoryProcess from './MemoryProcess';
 import Pipe from './Pipe';
 
-/** One end of a link on the memory network. */
+/** One end of a link on the in-memory network. */
 export default class MemoryLink implements Link {
   lastSentAt: number;
 
@@ -18,9 +18,9 @@
 
   private out: Pipe | undefined;
 
-  private readonly end = new AbortController();
+  private readonly closeController = new AbortController();
 
-  private readonly inbox = Inbox.create(() => this.end.abort());
+  private readonly inbox = Inbox.create(() => this.closeController.abort());
 
   private constructor(
     readonly peer: Hello,
@@ -30,7 +30,7 @@
     this.lastReceivedAt = this.lastSentAt;
   }
 
-  /** Makes both ends between two processes, of which each knows the other's hello. */
+  /** Creates both ends of a link between two processes; each end has the other's hello. */
   static pair(
     dialler: { process: MemoryProcess; hello: Hello },
     listener: { process: MemoryProcess; hello: Hello },
@@ -38,8 +38,8 @@
   ): [MemoryLink, MemoryLink] {
     const near = new MemoryLink(copyOfHello(listener.hello), faults.timer);
     const far = new MemoryLink(copyOfHello(dialler.hello), faults.timer);
-    near.out = Pipe.open(dialler.process, listener.process, faults, () => far.broken());
-    far.out = Pipe.open(listener.process, dialler.process, faults, () => near.broken());
+    near.out = Pipe.open(dialler.process, listener.process, faults, () => far.handleBreak());
+    far.out = Pipe.open(listener.process, dialler.process, faults, () => near.handleBreak());
     return [near, far].map((link, index, ends) => link.connect(ends[1 - index]!)) as [
       MemoryLink,
       MemoryLink,
@@ -49,7 +49,7 @@
   private other: MemoryLink | undefined;
 
   get closed(): AbortSignal {
-    return this.end.signal;
+    return this.closeController.signal;
   }
 
   send(message: PeerMessage): void {
@@ -66,7 +66,7 @@
 
   close(): void {
     if (this.closed.aborted) return;
-    this.out?.end(() => this.other?.ended());
+    this.out?.end(() => this.other?.handleEnd());
     this.inbox.abort();
   }
 
@@ -81,12 +81,12 @@
     this.inbox.push([message]);
   }
 
-  private broken(): void {
+  private handleBreak(): void {
     if (!this.closed.aborted) this.failure = 'the connection is gone';
-    this.ended();
+    this.handleEnd();
   }
 
-  private ended(): void {
+  private handleEnd(): void {
     this.out?.discard();
     this.inbox.finish();
   }
--- a/test/support/MemoryNetwork.ts
+++ b/test/support/MemoryNetwork.ts
@@ -8,8 +8,8 @@
 import type SimulatedCpu from './SimulatedCpu';
 
 /**
- * A network in memory whose faults a test controls. Each process gets its own
- * endpoint; faults name instances.
+ * An in-memory network whose faults are controlled by a test. Each process has its
+ * own endpoint; faults are set by instance names.
  */
 export default class MemoryNetwork {
   private readonly faults: NetworkFaults;
@@ -27,7 +27,7 @@
     return new MemoryNetwork(timer);
   }
 
-  /** The network as the instance sees it. After a kill, a call starts the instance's next process. */
+  /** The network endpoint of an instance. The first call after a kill starts the instance's next process. */
   endpoint(instance: string): Network {
     const known = this.processes.get(instance);
     const process = known?.isAlive ? known : MemoryProcess.start(instance);
@@ -35,12 +35,12 @@
     return MemoryEndpoint.of(process, this.faults, this.addresses);
   }
 
-  /** From now on what an instance sends and is sent takes processor time, ms each. */
-  setMessageCost(instance: string, processor: SimulatedCpu, messageMs: number): void {
-    this.processOf(instance).messageCost = { processor, messageMs };
+  /** From now on each message that an instance sends or receives costs CPU time, in ms. */
+  setMessageCost(instance: string, cpu: SimulatedCpu, messageMs: number): void {
+    this.processOf(instance).messageCost = { cpu, messageMs };
   }
 
-  /** From now on the machine of an instance sends and receives so many bytes a ms at most, each way. */
+  /** From now on limits the bandwidth of an instance's machine to `bytesPerMs` in each direction. */
   limitBandwidth(instance: string, bytesPerMs: number): void {
     const { timer } = this.faults;
     const out = SimulatedUplink.of(timer, bytesPerMs);
@@ -48,7 +48,7 @@
     this.processOf(instance).links = { out, into };
   }
 
-  /** Ends all connections between two instances and refuses new ones until they are joined again. */
+  /** Breaks all connections between two instances and refuses new ones until `heal`. */
   partition(one: string, other: string): void {
     this.faults.setPartitioned(one, other, true);
     this.pipesOf(one)
@@ -56,13 +56,13 @@
       .forEach((pipe) => pipe.break());
   }
 
-  /** Makes what one instance sends to the other vanish without a word; both ways unless told otherwise. */
-  blackhole(from: string, to: string, ways: 'both' | 'one' = 'both'): void {
+  /** Silently drops what one instance sends to the other; in both directions by default. */
+  blackhole(from: string, to: string, directions: 'both' | 'one' = 'both'): void {
     this.faults.setBlackholed(from, to, true);
-    if (ways === 'both') this.faults.setBlackholed(to, from, true);
+    if (directions === 'both') this.faults.setBlackholed(to, from, true);
   }
 
-  /** Ends a cut, a loss and a delay between two instances. */
+  /** Ends the partition, black hole and delay between two instances. */
   heal(one: string, other: string): void {
     this.faults.setPartitioned(one, other, false);
     this.faults.setBlackholed(one, other, false);
@@ -70,31 +70,31 @@
     this.delay(one, other, 0);
   }
 
-  /** Delays what two instances send each other, in both directions. */
+  /** Delays messages between two instances, in both directions. */
   delay(one: string, other: string, delayMs: number): void {
     this.faults.setDelay(one, other, delayMs);
     this.faults.setDelay(other, one, delayMs);
   }
 
-  /** Holds back the messages for which the predicate is true; later ones pass them. */
+  /** Holds back the messages for which the predicate is true; later messages overtake them. */
   hold(matches: Parameters<typeof HeldMessages.of>[0]): HeldMessages {
     const held = HeldMessages.of(matches);
     this.faults.holds.add(held);
     return held;
   }
 
-  /** Stops an instance as a stop signal would: what it sends and what it is sent waits. */
+  /** Pauses an instance as SIGSTOP would: messages to and from it wait. */
   pause(instance: string): void {
     this.processOf(instance).isPaused = true;
   }
 
-  /** Continues a paused instance: everything that waited arrives in order. */
+  /** Resumes a paused instance: waiting messages arrive in order. */
   resume(instance: string): void {
     this.processOf(instance).isPaused = false;
     this.pipesOf(instance).forEach((pipe) => pipe.deliverDue());
   }
 
-  /** Ends an instance's process: others see its connections end, it sees and sends nothing more. */
+  /** Kills an instance's process: its peers see the connections end; it receives and sends nothing more. */
   kill(instance: string): void {
     const process = this.processOf(instance);
     process.isAlive = false;
@@ -105,14 +105,14 @@
     });
   }
 
-  /** How many messages of each kind were sent so far. Calls count as "forward" and "forward.answer". */
+  /** Number of messages sent so far, by kind. A call counts as, for example, "forward" and "forward.answer". */
   messageCounts(): Record<string, number> {
     return Object.fromEntries(
       [...this.faults.counts].sort(([one], [other]) => (one < other ? -1 : 1)),
     );
   }
 
-  /** Starts counting anew. */
+  /** Resets the counts to zero. */
   resetCounts(): void {
     this.faults.counts.clear();
   }
--- a/test/support/MemoryProcess.ts
+++ b/test/support/MemoryProcess.ts
@@ -1,33 +1,33 @@
 import type SimulatedUplink from './SimulatedUplink';
 import type SimulatedCpu from './SimulatedCpu';
 
-/** One run of a process on the memory network. */
+/** One process on the in-memory network; a restart of the instance is another one. */
 export default class MemoryProcess {
   isAlive = true;
 
   isPaused = false;
 
-  /** What its messages take time of, and how much processor time each, ms; without one they take none. */
-  messageCost: { readonly processor: SimulatedCpu; readonly messageMs: number } | undefined;
+  /** The CPU that its messages use and the CPU time of each, ms; undefined if messages cost none. */
+  messageCost: { readonly cpu: SimulatedCpu; readonly messageMs: number } | undefined;
 
-  /** The links of its machine to the network, each way; without them only delays count. */
+  /** The uplinks of its machine, one per direction; without them only network delays apply. */
   links: { readonly out: SimulatedUplink; readonly into: SimulatedUplink } | undefined;
 
   private constructor(readonly instance: string) {}
 
-  /** A process that runs. */
+  /** Starts a process. */
   static start(instance: string): MemoryProcess {
     return new MemoryProcess(instance);
   }
 
-  /** Handles something that has arrived. */
+  /** Handles an arrived message, after the CPU time that it costs. */
   receive(deliver: () => void): void {
-    if (this.messageCost) this.messageCost.processor.run(this.messageCost.messageMs, deliver);
+    if (this.messageCost) this.messageCost.cpu.run(this.messageCost.messageMs, deliver);
     else deliver();
   }
 
-  /** Something is sent. */
+  /** Charges the CPU time of a sent message. */
   chargeSend(): void {
-    this.messageCost?.processor.charge(this.messageCost.messageMs);
+    this.messageCost?.cpu.charge(this.messageCost.messageMs);
   }
 }
--- a/test/support/NetworkCase.ts
+++ b/test/support/NetworkCase.ts
@@ -20,11 +20,11 @@
 import MemoryNetwork from './MemoryNetwork';
 import valueOf from './valueOf';
 
-type Make = () => { near: Network; far: Network; close: () => void };
+type NetworkFactory = () => { near: Network; far: Network; close: () => void };
 
-/** Two processes, "near" and "far", of which far listens. */
+/** Two processes: "far" listens, and "near" dials it. */
 export default class NetworkCase {
-  /** The links that far serves, in the order of their opening. */
+  /** The links that far serves, in the order in which they were opened. */
   readonly servedLinks: Link[] = [];
 
   listener!: Listener;
@@ -32,11 +32,11 @@
   private constructor(
     readonly near: Network,
     private readonly far: Network,
-    private readonly end: () => void,
+    private readonly closeNetworks: () => void,
   ) {}
 
-  /** The networks that keep the same contract, by name. */
-  static readonly implementations: Record<string, Make> = {
+  /** The implementations of `Network` that must behave alike, by name. */
+  static readonly implementations: Record<string, NetworkFactory> = {
     connect: () => NetworkCase.overTcp(SystemTimer.create()),
     memory: () => {
       const network = MemoryNetwork.create(ManualTimer.create());
@@ -48,17 +48,20 @@
     },
   };
 
-  /** Starts far's listener; the handlers given replace those that answer with empty messages. */
-  static async start(make: Make, handlers: Partial<PeerHandlers> = {}): Promise<NetworkCase> {
+  /** Starts far's listener. The given handlers replace the default ones, which return empty or fixed answers. */
+  static async start(
+    make: NetworkFactory,
+    handlers: Partial<PeerHandlers> = {},
+  ): Promise<NetworkCase> {
     const { near, far, close } = make();
-    const made = new NetworkCase(near, far, close);
-    const all = { ...made.handlers(), ...handlers };
+    const networkCase = new NetworkCase(near, far, close);
+    const all = { ...networkCase.handlers(), ...handlers };
     const address = '127.0.0.1:0';
-    made.listener = valueOf(await far.listen(address, () => helloOf('far'), all));
-    return made;
+    networkCase.listener = valueOf(await far.listen(address, () => helloOf('far'), all));
+    return networkCase;
   }
 
-  /** Far's hello, near's hello, or another with some fields changed. */
+  /** The hello of an instance, with some fields changed. */
   static hello(instance: string, changes: Partial<Hello> = {}): Hello {
     return { ...helloOf(instance), ...changes };
   }
@@ -69,13 +72,13 @@
     return valueOf(dialled);
   }
 
-  /** Ends both processes. */
+  /** Closes near's network and far's listener. */
   async stop(): Promise<void> {
-    this.end();
+    this.closeNetworks();
     await this.listener.close();
   }
 
-  private static overTcp(timer: TimerService): ReturnType<Make> {
+  private static overTcp(timer: TimerService): ReturnType<NetworkFactory> {
     const near = ConnectNetwork.create(timer);
     return { near, far: ConnectNetwork.create(timer), close: () => near.close() };
   }
--- a/test/support/NetworkFaults.ts
+++ b/test/support/NetworkFaults.ts
@@ -2,7 +2,7 @@
 import type HeldMessages from './HeldMessages';
 import type Pipe from './Pipe';
 
-/** The faults in force on the memory network and what they apply to. */
+/** The active faults of the in-memory network, its pipes and its message counts. */
 export default class NetworkFaults {
   readonly pipes = new Set<Pipe>();
 
@@ -10,15 +10,15 @@
 
   readonly counts = new Map<string, number>();
 
-  private readonly cuts = new Set<string>();
+  private readonly partitions = new Set<string>();
 
-  private readonly losses = new Set<string>();
+  private readonly blackholes = new Set<string>();
 
   private readonly delays = new Map<string, number>();
 
   private constructor(readonly timer: TimerService) {}
 
-  /** No faults. */
+  /** Creates a state without faults. */
   static none(timer: TimerService): NetworkFaults {
     return new NetworkFaults(timer);
   }
@@ -27,43 +27,45 @@
     this.counts.set(kind, (this.counts.get(kind) ?? 0) + 1);
   }
 
-  /** Keeps the message back when a hold applies to it. */
+  /** Holds the message back if a hold matches it; returns whether one does. */
   holdBack(pipe: Pipe, kind: string, release: () => void): boolean {
     const from = pipe.from.instance;
     const to = pipe.to.instance;
     return [...this.holds].some((held) => held.tryHold({ kind, from, to }, release));
   }
 
-  setPartitioned(one: string, other: string, cut: boolean): void {
-    [wayOf(one, other), wayOf(other, one)].forEach((way) => setOrDelete(this.cuts, way, cut));
+  setPartitioned(one: string, other: string, isPartitioned: boolean): void {
+    [directionKey(one, other), directionKey(other, one)].forEach((direction) =>
+      setOrDelete(this.partitions, direction, isPartitioned),
+    );
   }
 
-  setBlackholed(from: string, to: string, lost: boolean): void {
-    setOrDelete(this.losses, wayOf(from, to), lost);
+  setBlackholed(from: string, to: string, isBlackholed: boolean): void {
+    setOrDelete(this.blackholes, directionKey(from, to), isBlackholed);
   }
 
   setDelay(from: string, to: string, delayMs: number): void {
-    this.delays.set(wayOf(from, to), delayMs);
+    this.delays.set(directionKey(from, to), delayMs);
   }
 
   isPartitioned(from: string, to: string): boolean {
-    return this.cuts.has(wayOf(from, to));
+    return this.partitions.has(directionKey(from, to));
   }
 
   isBlackholed(from: string, to: string): boolean {
-    return this.losses.has(wayOf(from, to));
+    return this.blackholes.has(directionKey(from, to));
   }
 
   delayBetween(from: string, to: string): number {
-    return this.delays.get(wayOf(from, to)) ?? 0;
+    return this.delays.get(directionKey(from, to)) ?? 0;
   }
 }
 
-function wayOf(from: string, to: string): string {
+function directionKey(from: string, to: string): string {
   return `${from}>${to}`;
 }
 
-function setOrDelete(ways: Set<string>, way: string, present: boolean): void {
-  if (present) ways.add(way);
-  else ways.delete(way);
+function setOrDelete(directions: Set<string>, direction: string, isPresent: boolean): void {
+  if (isPresent) directions.add(direction);
+  else directions.delete(direction);
 }
--- a/test/support/Pipe.ts
+++ b/test/support/Pipe.ts
@@ -1,18 +1,18 @@
 import type MemoryProcess from './MemoryProcess';
 import type NetworkFaults from './NetworkFaults';
 
-interface Item {
+interface QueuedDelivery {
   readonly arriveAt: number;
-  /** Written while the sender was paused, so it leaves when the sender resumes. */
-  readonly whilePaused: boolean;
+  /** Sent while the sender was paused, so it is delivered only after the sender resumes. */
+  readonly sentWhilePaused: boolean;
   readonly deliver: () => void;
 }
 
-/** Carries things from one process to another in order, subject to the network's faults. */
+/** A one-way connection that delivers messages in order, subject to the network's faults. */
 export default class Pipe {
-  private queue: Item[] = [];
+  private queue: QueuedDelivery[] = [];
 
-  private ended = false;
+  private isEnded = false;
 
   private constructor(
     readonly from: MemoryProcess,
@@ -21,7 +21,7 @@
     private readonly onBreak?: () => void,
   ) {}
 
-  /** Opens a pipe that calls `onBreak` when a fault breaks it. */
+  /** Opens a pipe; `onBreak` is called when a fault breaks it. */
   static open(
     from: MemoryProcess,
     to: MemoryProcess,
@@ -33,23 +33,23 @@
     return pipe;
   }
 
-  /** Sends something that counts as a message of the given kind. */
+  /** Sends a message of the given kind; `deliver` is called when it arrives. */
   send(kind: string, deliver: () => void, bytes = 0): void {
-    if (this.ended || !this.from.isAlive) return;
+    if (this.isEnded || !this.from.isAlive) return;
     this.faults.count(kind);
     this.from.chargeSend();
     if (this.faults.holdBack(this, kind, () => this.enqueue(deliver, bytes))) return;
     this.enqueue(deliver, bytes);
   }
 
-  /** Ends the pipe after what was sent. */
+  /** Ends the pipe after the messages already sent. */
   end(deliver: () => void = () => undefined): void {
-    if (this.ended) return;
+    if (this.isEnded) return;
     this.enqueue(deliver);
-    this.ended = true;
+    this.isEnded = true;
   }
 
-  /** Loses what is under way and tells the receiver that the connection is gone. */
+  /** Discards messages in transit and notifies the receiver that the connection is broken. */
   break(): void {
     this.discard();
     if (!this.to.isPaused) {
@@ -57,44 +57,44 @@
       return;
     }
     this.faults.pipes.add(this);
-    this.queue = [{ arriveAt: 0, whilePaused: false, deliver: () => this.onBreak?.() }];
+    this.queue = [{ arriveAt: 0, sentWhilePaused: false, deliver: () => this.onBreak?.() }];
   }
 
-  /** Ends the pipe because its sender died: what was written before still arrives. */
+  /** Ends the pipe after its sender was killed: messages sent before still arrive. */
   closeAfterSenderDeath(): void {
-    this.queue = this.queue.filter((item) => !item.whilePaused);
+    this.queue = this.queue.filter((item) => !item.sentWhilePaused);
     this.end(() => this.onBreak?.());
   }
 
-  /** Loses everything without a word. */
+  /** Ends the pipe silently and discards everything in transit. */
   discard(): void {
     this.queue = [];
-    this.ended = true;
+    this.isEnded = true;
     this.faults.pipes.delete(this);
   }
 
-  /** Delivers what is due. */
+  /** Delivers the messages that are due. */
   deliverDue(): void {
-    for (let item = this.ready(); item; item = this.ready()) {
+    for (let item = this.nextDue(); item; item = this.nextDue()) {
       this.queue.shift();
       this.to.receive(item.deliver);
     }
-    if (this.ended && this.queue.length === 0) this.faults.pipes.delete(this);
+    if (this.isEnded && this.queue.length === 0) this.faults.pipes.delete(this);
   }
 
   private enqueue(deliver: () => void, bytes = 0): void {
-    if (this.ended || !this.to.isAlive) return;
+    if (this.isEnded || !this.to.isAlive) return;
     if (this.faults.isBlackholed(this.from.instance, this.to.instance)) return;
     this.push(deliver, bytes);
   }
 
   private push(deliver: () => void, bytes: number): void {
-    const wayMs = this.faults.delayBetween(this.from.instance, this.to.instance);
+    const networkMs = this.faults.delayBetween(this.from.instance, this.to.instance);
     const outMs = this.from.links?.out.transmit(bytes) ?? 0;
     const intoMs = this.to.links?.into.transmit(bytes) ?? 0;
-    const delayMs = wayMs + outMs + intoMs;
+    const delayMs = networkMs + outMs + intoMs;
     const arriveAt = this.faults.timer.now() + delayMs;
-    this.queue.push({ arriveAt, whilePaused: this.from.isPaused, deliver });
+    this.queue.push({ arriveAt, sentWhilePaused: this.from.isPaused, deliver });
     if (delayMs > 0) {
       this.faults.timer.after(delayMs, () => this.deliverDue());
       return;
@@ -102,10 +102,10 @@
     queueMicrotask(() => this.deliverDue());
   }
 
-  private ready(): Item | undefined {
+  private nextDue(): QueuedDelivery | undefined {
     const [item] = this.queue;
     if (!item || !this.to.isAlive || this.to.isPaused) return undefined;
-    if (item.whilePaused && this.from.isPaused) return undefined;
+    if (item.sentWhilePaused && this.from.isPaused) return undefined;
     return item.arriveAt <= this.faults.timer.now() ? item : undefined;
   }
 }
--- a/test/support/ProxiedCase.ts
+++ b/test/support/ProxiedCase.ts
@@ -8,8 +8,8 @@
 type Handlers = Parameters<typeof NetworkCase.start>[1];
 
 /**
- * A process that reaches another through a proxy. Its clocks are moved by hand, the product's and those
- * that the library takes its pings from, and errors that reach nobody are collected.
+ * A process that reaches another through a TCP proxy. Its clocks are advanced by the test, both the timer service
+ * and the timers that the RPC library uses for pings, and uncaught errors are collected.
  */
 export default class ProxiedCase {
   readonly uncaught = Uncaught.collect();
@@ -21,7 +21,7 @@
     readonly near: ConnectNetwork,
   ) {}
 
-  /** Starts both; the handlers are those of the far one. */
+  /** Starts both processes; the handlers are those of the far one. */
   static async open(handlers: Handlers = {}): Promise<ProxiedCase> {
     vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'Date'] });
     const far = await NetworkCase.start(NetworkCase.implementations.connect!, handlers);
@@ -30,23 +30,23 @@
     return new ProxiedCase(far, proxy, timer, ConnectNetwork.create(timer));
   }
 
-  /** The address at which the far process is reached. */
+  /** The address of the proxy, through which the far process is reached. */
   get address(): string {
     return this.proxy.address;
   }
 
-  /** Has the event loop turn until nothing is left to be done on loopback. */
+  /** Runs enough turns of the event loop for all pending loopback traffic to be handled. */
   async settle(): Promise<void> {
-    await ManualTimer.settle(TURNS);
+    await ManualTimer.settle(SETTLE_TURNS);
   }
 
-  /** Moves all clocks on. */
+  /** Advances all clocks. */
   async advance(ms: number): Promise<void> {
     await Promise.all([vi.advanceTimersByTimeAsync(ms), this.timer.advance(ms)]);
     await this.settle();
   }
 
-  /** Ends both and gives the clocks back. */
+  /** Stops both processes and restores the real clocks. */
   async close(): Promise<void> {
     this.uncaught.release();
     vi.useRealTimers();
@@ -56,4 +56,4 @@
   }
 }
 
-const TURNS = 200;
+const SETTLE_TURNS = 200;
--- a/test/support/formatView.ts
+++ b/test/support/formatView.ts
@@ -1,6 +1,6 @@
 import type { View } from '../../src/gen/magnoliakeel/v1/peer_pb';
 
-/** A view in one line: its number, members and past views. */
+/** Formats a view in one line: its number, members and previous views. */
 export default function formatView(view: View | undefined): string {
   if (!view) return 'none';
   const { number, members, past } = view;
