--- a/src/link/Link.ts
+++ b/src/link/Link.ts
@@ -33,8 +33,8 @@
 
   /**
    * Ends the link at once: nothing more is received. Messages sent before are still written while the
-   * peer reads, but may not arrive. With `isSilent`, for an unresponsive peer, nothing more is written
+   * peer reads, but may not arrive. With `isUnresponsive`, nothing more is written
    * and the connection itself is closed, so that the next link gets a new one.
    */
-  close(isSilent?: boolean): void;
+  close(isUnresponsive?: boolean): void;
 }
--- a/src/link/MessageCounts.ts
+++ b/src/link/MessageCounts.ts
@@ -18,17 +18,17 @@
   /** The counts of this process. */
   static readonly global = new MessageCounts();
 
-  private readonly kinds = new Map<string, KindCount>();
+  private readonly countsByKind = new Map<string, KindCount>();
 
   private constructor() {}
 
   /** Counts a sent message. */
   add(message: PeerMessage): void {
     const kind = kindOf(message);
-    let count = this.kinds.get(kind);
+    let count = this.countsByKind.get(kind);
     if (!count) {
       count = { messages: 0, bytes: 0 };
-      this.kinds.set(kind, count);
+      this.countsByKind.set(kind, count);
     }
     if (count.messages % SAMPLE_INTERVAL === 0)
       count.bytes += SAMPLE_INTERVAL * encodedSize(message);
@@ -37,7 +37,7 @@
 
   /** A copy of the counts so far, by kind. */
   snapshot(): Record<string, KindCount> {
-    return Object.fromEntries([...this.kinds].map(([kind, count]) => [kind, { ...count }]));
+    return Object.fromEntries([...this.countsByKind].map(([kind, count]) => [kind, { ...count }]));
   }
 }
 
--- a/src/link/StreamLink.ts
+++ b/src/link/StreamLink.ts
@@ -71,9 +71,9 @@
     return this.inbox.read();
   }
 
-  close(isSilent = false): void {
+  close(isUnresponsive = false): void {
     if (this.closed.aborted) return;
-    if (isSilent) {
+    if (isUnresponsive) {
       this.failure = 'the peer is silent';
       this.abort();
       return;
--- a/src/membership/PrefixWatcher.ts
+++ b/src/membership/PrefixWatcher.ts
@@ -68,7 +68,7 @@
   private async listOrWatch(signal: AbortSignal): Promise<string | undefined> {
     const { store, prefix, timer } = this.opts;
     const isFirst = this.revision === undefined;
-    // A dead connection may not be reset, so the first watch after a failure uses a shorter wait.
+    // A dead connection may not be reset, so a watch after a failure uses a shorter wait.
     const waitMs = this.isUnreachable ? WATCH_WAIT_AFTER_FAILURE_MS : WATCH_WAIT_MS;
     const res = isFirst
       ? await store.list(
--- a/src/membership/StoreWatch.ts
+++ b/src/membership/StoreWatch.ts
@@ -35,7 +35,7 @@
   /** Aborts the delay after a failure. */
   private delayController = new AbortController();
 
-  private listed = false;
+  private wasListed = false;
 
   private isFailing = false;
 
@@ -71,7 +71,7 @@
 
   /** Whether the store was listed at least once. */
   get hasListed(): boolean {
-    return this.listed;
+    return this.wasListed;
   }
 
   /**
@@ -125,15 +125,15 @@
   private applyChanges(changes: StoreChanges): void {
     const isList = this.revision === undefined;
     this.revision = changes.revision;
-    this.listed = true;
+    this.wasListed = true;
     if (isList) this.liveIncarnations.clear();
     changes.deleted
       .filter(isLeaseKey)
       .forEach((key) => this.liveIncarnations.delete(incarnationOf(key)));
-    const putLeases = changes.items.filter(({ key }) => isLeaseKey(key));
-    putLeases.forEach(({ key }) => this.liveIncarnations.add(incarnationOf(key)));
+    const writtenLeases = changes.items.filter(({ key }) => isLeaseKey(key));
+    writtenLeases.forEach(({ key }) => this.liveIncarnations.add(incarnationOf(key)));
     changes.items.forEach((item) => this.parseItem(item));
-    if (isList || putLeases.length > 0 || changes.deleted.some(isLeaseKey)) {
+    if (isList || writtenLeases.length > 0 || changes.deleted.some(isLeaseKey)) {
       this.options.onLiveIncarnations(new Set(this.liveIncarnations));
     }
   }
--- a/src/peering/PauseDetector.ts
+++ b/src/peering/PauseDetector.ts
@@ -48,7 +48,7 @@
     this.lastMonotonicMs = monotonicMs;
     this.lastWallMs = wallMs;
     const pauseMs = Math.max(elapsedMs, divergenceMs);
-    if (pauseMs >= pulseTimings.gapMs) this.onPause(Math.round(pauseMs));
+    if (pauseMs >= pulseTimings.pauseThresholdMs) this.onPause(Math.round(pauseMs));
   }
 
   /** Stops the checks. */
--- a/src/peering/pulseTimings.ts
+++ b/src/peering/pulseTimings.ts
@@ -37,7 +37,7 @@
    * A pause of this process, or a difference between its two clocks, after which callers may have turned to
    * other entries: they do after 1,300 ms. A busy process may lag by half a second without a pause.
    */
-  gapMs: 800,
+  pauseThresholdMs: 800,
 } as const;
 
 export default pulseTimings;
--- a/test/link/EnvelopeDecoder.test.ts
+++ b/test/link/EnvelopeDecoder.test.ts
@@ -12,13 +12,13 @@
 }
 
 test('decodes the same envelopes for every split of their bytes into chunks', () => {
-  const whole = textsOf([stream]);
-  const single = textsOf([...stream].map((byte) => Uint8Array.of(byte)));
-  const halves = Array.from({ length: stream.length }, (_, at) =>
+  const atOnce = textsOf([stream]);
+  const byteByByte = textsOf([...stream].map((byte) => Uint8Array.of(byte)));
+  const inTwoChunks = Array.from({ length: stream.length }, (_, at) =>
     textsOf([stream.subarray(0, at), stream.subarray(at)]),
   );
-  expect(whole).toEqual(texts.map((text, flags) => `${flags} ${text}`));
-  expect([single, ...halves]).toEqual(Array(1 + stream.length).fill(whole));
+  expect(atOnce).toEqual(texts.map((text, flags) => `${flags} ${text}`));
+  expect([byteByByte, ...inTwoChunks]).toEqual(Array(1 + stream.length).fill(atOnce));
 });
 
 test('throws at an envelope that exceeds the size limit', () => {
--- a/test/link/PeerShutdown.test.ts
+++ b/test/link/PeerShutdown.test.ts
@@ -15,7 +15,7 @@
   // A call waits for its answer, and the peer has sent GOAWAY.
   beforeEach(async () => {
     let arrived: () => void;
-    const taken = new Promise<void>((resolve) => {
+    const callArrived = new Promise<void>((resolve) => {
       arrived = resolve;
     });
     peers = await ProxiedCase.open({
@@ -28,7 +28,7 @@
     peers.near.claim(peers.address, create(ClaimRequestSchema)).mapErr((error) => {
       failure = error;
     });
-    await taken;
+    await callArrived;
     peers.far.listener.close();
     await peers.settle();
     expect(failure).toBeUndefined();
--- a/test/link/networkContract.test.ts
+++ b/test/link/networkContract.test.ts
@@ -38,13 +38,13 @@
     const link = await current.dial();
     sendGrants(link, 'near', 500);
     sendGrants(servedLinks[0]!, 'far', 500);
-    const read = await Promise.all([take(link, 500), take(servedLinks[0]!, 500)]);
+    const read = await Promise.all([readGrants(link, 500), readGrants(servedLinks[0]!, 500)]);
     expect(read).toEqual([names('far', 500), names('near', 500)]);
   });
 
   it('delivers what the listener sends while the link opens', async () => {
     await start({ link: async (link) => sendGrants(link, 'first', 2) });
-    expect(await take(await current.dial(), 3)).toEqual(names('first', 2));
+    expect(await readGrants(await current.dial(), 3)).toEqual(names('first', 2));
   });
 
   it('delivers what was sent before a clean close', async () => {
@@ -52,7 +52,7 @@
     const link = await current.dial();
     sendGrants(servedLinks[0]!, 'last', 3);
     servedLinks[0]!.close();
-    expect(await take(link, 4)).toEqual(names('last', 3));
+    expect(await readGrants(link, 4)).toEqual(names('last', 3));
     expect(link.closed.aborted).toBe(true);
   });
 
@@ -60,7 +60,7 @@
     const { servedLinks } = await start();
     const link = await current.dial();
     link.close();
-    expect(await take(servedLinks[0]!, 1)).toEqual([]);
+    expect(await readGrants(servedLinks[0]!, 1)).toEqual([]);
     expect([link.closed.aborted, servedLinks[0]!.closed.aborted]).toEqual([true, true]);
   });
 
@@ -68,7 +68,7 @@
     await start();
     const link = await current.dial();
     await current.listener.close();
-    expect(await take(link, 1)).toEqual([]);
+    expect(await readGrants(link, 1)).toEqual([]);
   });
 
   it('ignores what is sent after the end', async () => {
@@ -76,7 +76,7 @@
     const link = await current.dial();
     link.close();
     sendGrants(link, 'late', 1);
-    expect(await take(servedLinks[0]!, 1)).toEqual([]);
+    expect(await readGrants(servedLinks[0]!, 1)).toEqual([]);
   });
 
   it.each([
@@ -161,7 +161,7 @@
     (await current.dial()).close();
     const link = await current.dial();
     sendGrants(link, 'again', 1);
-    expect(await take(servedLinks[1]!, 1)).toEqual(names('again', 1));
+    expect(await readGrants(servedLinks[1]!, 1)).toEqual(names('again', 1));
   });
 });
 
@@ -178,7 +178,7 @@
 }
 
 /** The services of the next grants; fewer if the link ends before. */
-async function take(link: Link, count: number): Promise<string[]> {
+async function readGrants(link: Link, count: number): Promise<string[]> {
   const services: string[] = [];
   for await (const message of link.messages()) {
     if (message.case === 'grant') services.push(message.value.service);
--- a/test/membership/Membership.test.ts
+++ b/test/membership/Membership.test.ts
@@ -49,10 +49,10 @@
   fixture.engine.setFaults({ down: true });
   fixture.suspected.add('b').add('c');
   await fixture.timer.advance(600_000);
-  const frozen = formatView(a?.views.current);
+  const duringOutage = formatView(a?.views.current);
   fixture.engine.setFaults({});
   await fixture.timer.advance(60_000);
-  expect([frozen, formatView(a?.views.current)]).toMatchInlineSnapshot(`
+  expect([duringOutage, formatView(a?.views.current)]).toMatchInlineSnapshot(`
     [
       "3: a b c (1: a, 2: a c)",
       "4: a b (1: a, 2: a c, 3: a c b)",
@@ -90,10 +90,10 @@
   const fixture = new MembershipCase();
   const [a] = await fixture.startAll('a', 'b');
   await fixture.expireLease('b');
-  const lapsed = formatView(a?.views.current);
+  const unsuspected = formatView(a?.views.current);
   fixture.suspected.add('b');
   await fixture.timer.advance(2_000);
-  expect([lapsed, formatView(a?.views.current)]).toMatchInlineSnapshot(`
+  expect([unsuspected, formatView(a?.views.current)]).toMatchInlineSnapshot(`
     [
       "2: a b (1: a)",
       "3: a (1: a, 2: a b)",
