--- a/src/link/PeerServer.ts
+++ b/src/link/PeerServer.ts
@@ -98,8 +98,8 @@
   }
 
   private open(address: string): Promise<Result<Listener, CallError>> {
-    const place = hostAndPort(new URL(`http://${address}`), DEFAULT_PORT);
-    return openServer(this.server, place, (error) => this.handlers.onError?.(error)).then(
+    const endpoint = hostAndPort(new URL(`http://${address}`), DEFAULT_PORT);
+    return openServer(this.server, endpoint, (error) => this.handlers.onError?.(error)).then(
       () => ok(this),
       (cause: Error) => err({ kind: 'unreachable', reason: listenProblem(cause) }),
     );
--- a/src/link/PeerSession.ts
+++ b/src/link/PeerSession.ts
@@ -201,18 +201,19 @@
    * sent instead, which the peer has to acknowledge as well.
    */
   private monitorShutdown(session: Http2Session): void {
-    let askedAt: number | undefined;
+    let probeSentAt: number | undefined;
     const probe = (): void => {
       const now = this.timer.now();
-      const isUnresponsive = askedAt !== undefined && now - askedAt >= KEEP_ALIVE.pingTimeoutMs;
+      const isUnresponsive =
+        probeSentAt !== undefined && now - probeSentAt >= KEEP_ALIVE.pingTimeoutMs;
       if (isUnresponsive || session.destroyed) {
         this.close();
         return;
       }
-      if (askedAt !== undefined) return;
-      askedAt = now;
+      if (probeSentAt !== undefined) return;
+      probeSentAt = now;
       session.settings(SESSION_OPTIONS.settings, () => {
-        askedAt = undefined;
+        probeSentAt = undefined;
       });
     };
     const probes = this.timer.every(KEEP_ALIVE.pingIntervalMs, probe);
