--- a/test/link/EnvelopeDecoder.test.ts
+++ b/test/link/EnvelopeDecoder.test.ts
@@ -11,22 +11,22 @@
   return envelopes.map(({ flags, content }) => `${flags} ${Buffer.from(content).toString()}`);
 }
 
-test('envelopes are the same however their bytes arrive', () => {
-  const whole = textsOf([stream]);
-  const single = textsOf([...stream].map((byte) => Uint8Array.of(byte)));
-  const halves = Array.from({ length: stream.length }, (_, at) =>
+test('decodes the same envelopes for every split of their bytes into chunks', () => {
+  const atOnce = textsOf([stream]);
+  const byteByByte = textsOf([...stream].map((byte) => Uint8Array.of(byte)));
+  const inTwoChunks = Array.from({ length: stream.length }, (_, at) =>
     textsOf([stream.subarray(0, at), stream.subarray(at)]),
   );
-  expect(whole).toEqual(texts.map((text, flags) => `${flags} ${text}`));
-  expect([single, ...halves]).toEqual(Array(1 + stream.length).fill(whole));
+  expect(atOnce).toEqual(texts.map((text, flags) => `${flags} ${text}`));
+  expect([byteByByte, ...inTwoChunks]).toEqual(Array(1 + stream.length).fill(atOnce));
 });
 
-test('an envelope that is longer than a frame may be is an error', () => {
+test('throws at an envelope that exceeds the size limit', () => {
   const head = Uint8Array.of(0, 0xff, 0xff, 0xff, 0xff);
-  expect(() => EnvelopeDecoder.create().push(head)).toThrow('a frame of 4294967295 bytes');
+  expect(() => EnvelopeDecoder.create().push(head)).toThrow('frame too long: 4294967295 bytes');
 });
 
-test('bytes that end within an envelope show', () => {
+test('reports a partial envelope', () => {
   const splitter = EnvelopeDecoder.create();
   splitter.push(stream.subarray(0, 7));
   expect(splitter.hasPartialEnvelope).toBe(true);
