--- a/src/placement/FleetDurationRatios.ts
+++ b/src/placement/FleetDurationRatios.ts
@@ -1,29 +1,29 @@
-/** A backend server as far as its speed goes. */
+/** A backend server and its duration ratio. */
 interface RatedBackend {
-  /** Unique for each life of the backend server. */
+  /** Unique for each incarnation of the backend server. */
   readonly backend: string;
-  /** Times the estimates that work takes there, as its sidecar has told; undefined while it does not say. */
+  /** Duration of work there divided by its estimate, as its sidecar reports it; undefined while it does not. */
   readonly durationRatio: number | undefined;
 }
 
 /**
- * The speeds of backend servers against the middle of all, so that what estimates have in common says nothing. What
- * a sidecar has told of a backend server holds after its restart too, until it knows again. Of what nothing was told
- * work is taken to go as estimated.
+ * The duration ratios of backend servers relative to the mean of the fleet, so that errors common to all
+ * estimates cancel out. The ratio reported for a backend server is kept across restarts of its sidecar, until
+ * the sidecar knows it again. Without any report, work is presumed to take as long as estimated.
  */
 export default class FleetDurationRatios {
   private readonly reportedRatios = new Map<string, number>();
 
   private constructor() {}
 
-  /** Creates one that has heard of no backend server. */
+  /** Creates it without any report. */
   static create(): FleetDurationRatios {
     return new FleetDurationRatios();
   }
 
   /**
-   * Times the middle that work takes at those that are not like the others: all that are missing take it once. Empty
-   * where none differs much, since what is then known of them is as much chance as property.
+   * Duration ratios relative to the fleet's mean, of the backend servers that differ from it; for all others it
+   * is 1. Empty where none differs by much, since the remaining differences are as likely chance as property.
    */
   relativeToMean<T extends RatedBackend>(places: Iterable<T>): ReadonlyMap<T, number> {
     const known = [...places].map((place) => ({ place, log: Math.log(this.ratioOf(place)) }));
@@ -46,7 +46,10 @@
   }
 }
 
-/** The mean, with what is far from the median taken as less far: a few ill ones do not move it. */
+/**
+ * The mean, with values far from the median moved closer to it, so that a few unhealthy backend servers do not
+ * shift it.
+ */
 function winsorizedMean(logs: readonly number[]): number {
   const sorted = [...logs].sort((a, b) => a - b);
   const median = sorted[Math.floor(sorted.length / 2)] ?? 0;
@@ -56,20 +59,21 @@
   return near.reduce((sum, log) => sum + log, 0) / near.length;
 }
 
-/** Backend servers of which one can be unlike the others. */
+/** Fewest backend servers among which one can differ from the others. */
 const MIN_BACKENDS = 3;
 
 /**
- * Logarithm of the factor by which one has to differ before any counts as different: objectives of 1.6 times
- * the work bear that with the 15% by which tasks of a batch differ, so a smaller one makes nobody late.
+ * Logarithm of the factor by which one has to differ before any counts as different: latency targets of 1.6
+ * times the work tolerate that, with the 15% by which tasks of a batch differ, so a smaller one makes nothing
+ * late.
  */
 const MIN_LOG_DIFFERENCE = Math.log(1.4);
 
-/** Logarithm of the factor up to which speeds count as alike then. */
+/** Logarithm of the factor within which ratios then count as equal to the mean. */
 const ALIKE_LOG_DIFFERENCE = Math.log(1.15);
 
-/** Logarithm of the factor from the median beyond which a speed counts no more. */
+/** Logarithm of the largest factor from the median that enters the mean. */
 const MAX_LOG_DIFFERENCE = Math.log(3);
 
-/** Backend servers remembered: more than any fleet has, with those that were replaced. */
+/** Backend servers to remember: more than any fleet has, including those that were replaced. */
 const MAX_REMEMBERED = 2_000;
--- a/src/placement/placementScore.ts
+++ b/src/placement/placementScore.ts
@@ -1,25 +1,26 @@
-/** How a task would do at one place. */
+/** What is expected of a task on one backend server. */
 interface PlacementOutlook {
-  /** When its batch would be done if it ran there, by the timer service. */
+  /** When its batch is expected to end if the task runs there, by the timer service. */
   readonly endsAt: number;
-  /** By when its batch should be done. */
+  /** The latency target of its batch, as a time. */
   readonly targetAt: number;
-  /** From when on the answer is of no use. */
+  /** When the answer of its batch becomes useless. */
   readonly expiresAt: number;
-  /** Times that the task takes there, against the middle. */
+  /** Duration ratio of the task there, relative to the fleet's mean. */
   readonly durationRatio: number;
-  /** Whether places where work goes fast are to be left to what needs them. */
+  /** Whether fast backend servers are to be kept free for tasks that need them. */
   readonly conservesFastBackends: boolean;
 }
 
 /**
- * What speaks for a place by the time that work takes there, as a share of a backend server's room.
+ * Scores a backend server by how long the task takes there, as a share of a backend server's capacity.
  *
- * It answers a fleet in which some machines take two or three times as long. First comes that the batch makes its
- * aim, and then that it is of use at all: work whose caller waits for long anyway bears a slow machine no better than
- * short work does, whose objective has some time to spare. Among places where it comes out alike, the fast go first
- * while there is room enough on them. When that gets short, what makes its aim on a slow machine goes there, so that
- * the fast ones are left for what does not, and none is idle.
+ * It is for fleets in which some machines take two or three times as long. The batch should first of all meet
+ * its latency target, and otherwise end before it expires: work whose caller waits for long anyway tolerates a
+ * slow machine no better than short work does, whose target leaves some time to spare. Among backend servers
+ * that are alike in that, fast ones are preferred while they have enough free capacity. When that gets scarce,
+ * tasks that meet their target on a slow machine go there, so that the fast ones are left for those that do
+ * not, and none is idle.
  */
 export default function placementScore(outlook: PlacementOutlook): number {
   const octaves = Math.log2(outlook.durationRatio);
@@ -27,14 +28,16 @@
   return preference * OCTAVE_WEIGHT - tierOf(outlook) * TIER_WEIGHT;
 }
 
-/** In time, late, or useless. */
+/** 0 if the target is met, 1 if it is late, 2 if it is expired. */
 function tierOf({ endsAt, targetAt, expiresAt }: PlacementOutlook): number {
   if (endsAt <= targetAt) return 0;
   return endsAt <= expiresAt ? 1 : 2;
 }
 
-/** Worth of a machine that is twice as fast: a whole machine's room. */
+/** Score of a machine that is twice as fast: as much as a whole machine's free capacity. */
 const OCTAVE_WEIGHT = 1;
 
-/** Worth of being in time: more than any machine's speed and room, less than not to fail again. */
+/**
+ * Score of meeting the target: more than any machine's speed and capacity, less than avoiding another failure.
+ */
 const TIER_WEIGHT = 16;
--- a/src/placement/quantizedRatio.ts
+++ b/src/placement/quantizedRatio.ts
@@ -1,7 +1,8 @@
 /**
- * The speed that is told to entries, from what was told before and what is known now: tenths of an octave, and a new
- * value only once the known one is off by more than what a choice between two backend servers could turn on. So small
- * changes make no message, and none is sent where work goes as estimated. Undefined while nothing is told.
+ * The duration ratio to report to entries, from the one reported before and the one measured now. It is rounded
+ * to tenths of an octave, and changes only once the measured one differs by more than could affect the choice
+ * between two backend servers. So small changes cause no message, and none is sent where work takes as long as
+ * estimated. Undefined while nothing was reported.
  */
 export default function quantizedRatio(
   told: number | undefined,
@@ -16,11 +17,13 @@
   return isNews ? 2 ** (Math.round(octaves * STEPS_PER_OCTAVE) / STEPS_PER_OCTAVE) : told;
 }
 
-/** Steps an octave. */
+/** Steps per octave. */
 const STEPS_PER_OCTAVE = 10;
 
-/** How far from the estimates work goes before anything is told, octaves: 15%, up to which machines count as alike. */
+/**
+ * Distance from the estimates before anything is reported, octaves: 15%, up to which machines count as alike.
+ */
 const MIN_FIRST_OCTAVES = 0.2;
 
-/** Change by which a new value is told, octaves: 11%, less than the differences that decide. */
+/** Change that causes a new report, octaves: 11%, less than the differences that affect decisions. */
 const MIN_CHANGE_OCTAVES = 0.15;
--- a/src/room/Resources.ts
+++ b/src/room/Resources.ts
@@ -1,6 +1,6 @@
 /**
- * An amount of a worker's resources: what a task needs, what a backend server has, what is left of
- * it. Values are whole numbers and never change; sums and differences are new values.
+ * An amount of a worker's resources: what a task needs, what a backend server has, what is left of it. Values
+ * are whole numbers and immutable; sums and differences are new objects.
  */
 export default class Resources {
   /** Nothing at all. */
@@ -14,7 +14,7 @@
     readonly accelerators: number,
   ) {}
 
-  /** Creates an amount; what is left out is 0. */
+  /** Creates an amount; omitted values are 0. */
   static of(amount: Partial<Pick<Resources, 'cpuMilli' | 'memoryMb' | 'accelerators'>>): Resources {
     const { cpuMilli = 0, memoryMb = 0, accelerators = 0 } = amount;
     return new Resources(cpuMilli, memoryMb, accelerators);
@@ -29,7 +29,7 @@
     );
   }
 
-  /** What is left without the other, at least 0 of each kind. */
+  /** The difference, at least 0 of each kind. */
   minus(other: Resources): Resources {
     return new Resources(
       Math.max(0, this.cpuMilli - other.cpuMilli),
@@ -38,12 +38,12 @@
     );
   }
 
-  /** Whether both are the same in every kind. */
+  /** Whether both are equal in every kind. */
   equals(other: Resources): boolean {
     return this.covers(other) && other.covers(this);
   }
 
-  /** Whether the other amount is there in this one, in every kind. */
+  /** Whether this amount is at least the other, in every kind. */
   covers(other: Resources): boolean {
     return (
       this.cpuMilli >= other.cpuMilli &&
--- a/src/runs/ActiveRuns.ts
+++ b/src/runs/ActiveRuns.ts
@@ -9,29 +9,29 @@
 import taskKey from './taskKey';
 
 interface ActiveRunsOptions {
-  /** Told of each run that is over, by its key, after its owner was. */
+  /** Called for each run that has ended, with its task key, after the run's owner was notified. */
   readonly onEnded: (key: string) => void;
-  /** Told how much further a run was seen to have come, in hundredths of its work. */
+  /** Called with the progress that a run has made since the last poll, in percent of its work. */
   readonly onProgress: (state: RunState, percent: number) => void;
 }
 
 /**
- * The runs that take room at a backend server, from before their start is sent until their end is
- * certain. A run is over when the backend server lists its end, when it was confirmed and a later look
- * does not show it, or when its stop was acknowledged and a later look does not show it: a start that
- * is still on its way is refused after that.
+ * The runs that occupy capacity at a backend server, from before their start is sent until they are known to
+ * have ended. A run has ended when the backend server lists its end, when it was confirmed and a later poll
+ * does not list it, or when its stop was acknowledged and a later poll does not list it: after the stop, a
+ * start that is still in flight is refused.
  */
 export default class ActiveRuns {
   private readonly runs = new Map<string, RunState>();
 
-  /** For each stop that was acknowledged, the first look that proves whether the run is there. */
+  /** For each acknowledged stop, the number of the first poll that shows whether the run is still there. */
   private readonly verifyingPolls = new Map<RunState, number>();
 
   private pollCount = 0;
 
   private constructor(private readonly opts: ActiveRunsOptions) {}
 
-  /** Creates one without any run. */
+  /** Creates an empty set of runs. */
   static create(opts: ActiveRunsOptions): ActiveRuns {
     return new ActiveRuns(opts);
   }
@@ -40,22 +40,22 @@
     return this.runs.size;
   }
 
-  /** All of them. */
+  /** All active runs. */
   get all(): Iterable<RunState> {
     return this.runs.values();
   }
 
-  /** What they take, those that are being stopped included. */
+  /** The capacity that they occupy, including runs that are being stopped. */
   get allocated(): Resources {
     return sumOf([...this.runs.values()]);
   }
 
-  /** What an owner's runs take of that. */
+  /** The part of it that an owner's runs occupy. */
   allocatedTo(owner: object): Resources {
     return sumOf([...this.runs.values()].filter(({ request }) => request.owner === owner));
   }
 
-  /** How long the one of their owners that was confirmed longest ago has been silent, ms. */
+  /** The longest time for which any of their owners has not been confirmed alive, ms. */
   get silentMs(): number {
     let longest = 0;
     this.runs.forEach(({ request }) => {
@@ -64,61 +64,61 @@
     return longest;
   }
 
-  /** Whether a stop was acknowledged and the look that proves the end is still to come. */
+  /** Whether a stop was acknowledged and the poll that verifies the end is still to come. */
   get hasUnverifiedStop(): boolean {
     return this.verifyingPolls.size > 0;
   }
 
-  /** The run of a task, by its key. */
+  /** The active run of a task, by task key. */
   find(key: string): RunState | undefined {
     return this.runs.get(key);
   }
 
-  /** Whether exactly this run is held. */
+  /** Whether exactly this run is active. */
   includes(state: RunState): boolean {
     return this.runs.get(taskKey(state.run)) === state;
   }
 
-  /** Runs of the same step. */
+  /** The number of active runs of the same step. */
   countOfStep({ batch, step }: Pick<RunRequest, 'batch' | 'step'>): number {
     const requests = [...this.runs.values()].map((run) => run.request);
     return requests.filter((each) => each.batch === batch && each.step === step).length;
   }
 
-  /** Whether a run is there under which a backend server has crashed before. */
+  /** Whether a run is active that is suspected of having crashed a backend server. */
   get hasSuspect(): boolean {
     return this.hasRequest(({ suspicion }) => suspicion > 0);
   }
 
-  /** Whether a run is there beside which there may be no other. */
+  /** Whether a run is active that must have the backend server to itself. */
   get hasExclusiveRun(): boolean {
     return this.hasRequest(({ suspicion }) => needsExclusiveBackend(suspicion));
   }
 
-  /** Takes room for a run, in place of an earlier try of the same task. */
+  /** Allocates capacity for a run. It replaces an earlier attempt of the same task. */
   add(state: RunState): void {
     this.runs.set(taskKey(state.run), state);
   }
 
-  /** A look is about to be sent; returns its number. */
+  /** Called before a poll is sent; returns the number of the poll. */
   beginPoll(): number {
     this.pollCount += 1;
     return this.pollCount;
   }
 
-  /** The backend server has confirmed the run: looks that are sent from now on list it. */
+  /** The backend server has confirmed the run: polls that are sent from now on list it. */
   confirm(state: RunState): void {
     if (state.isConfirmed) return;
     state.isConfirmed = true;
     state.confirmedAtPoll = this.pollCount;
   }
 
-  /** The stop of a run was acknowledged. */
+  /** The backend server has acknowledged the stop of a run. */
   stopAcknowledged(state: RunState): void {
     this.verifyingPolls.set(state, this.pollCount + 1);
   }
 
-  /** Compares with what a look showed; returns runs that are there and should not be. */
+  /** Applies the result of a poll; returns runs that are listed but not active here. */
   reconcile({ running }: BackendPollResult, poll: number): readonly RunId[] {
     const listed = new Set<RunState>();
     const unknown: RunId[] = [];
@@ -138,7 +138,7 @@
     return unknown;
   }
 
-  /** The run is over: its owner is told, and its room is free. */
+  /** Ends the run: notifies its owner and frees its capacity. */
   finish(
     state: RunState,
     outcome: RunOutcome,
@@ -155,14 +155,17 @@
     this.opts.onEnded(key);
   }
 
-  /** Nothing runs there any more; `roleOf` tells what part a run had in a crash by which that is so. */
+  /**
+   * Ends all runs, which are gone with the backend server; `roleOf` gives each run's role in the crash, if it
+   * was one.
+   */
   finishAllAsLost(reason: string, roleOf?: (state: RunState) => CrashRole): void {
     [...this.runs.values()].forEach((state) =>
       this.finish(state, RunOutcome.LOST, reason, roleOf?.(state)),
     );
   }
 
-  /** Gives up those for which the predicate holds, and tells nobody; returns them. */
+  /** Removes the runs that match, without notifying anybody; returns them. */
   release(matches: (state: RunState) => boolean): readonly RunState[] {
     const released = [...this.runs.values()].filter(matches);
     released.forEach((state) => {
@@ -172,7 +175,7 @@
     return released;
   }
 
-  /** Asked with each order and each report of room, so nothing is copied for it. */
+  /** Called for each start request and each capacity report, so it avoids copying the runs. */
   private hasRequest(matches: (request: RunRequest) => boolean): boolean {
     for (const { request } of this.runs.values()) {
       if (matches(request)) return true;
--- a/src/runs/AnswerTimeouts.ts
+++ b/src/runs/AnswerTimeouts.ts
@@ -1,9 +1,9 @@
 /**
- * How long a backend server takes to answer, and so how long its answer is waited for. It answers
- * orders whose answer is lost: beside it on the same machine an answer takes a millisecond or two, and
- * every further one that is waited is time in which a task does not run and its room is taken. The
- * estimate is that of TCP's retransmission timer (RFC 6298): mean and mean deviation, each try twice
- * as long as the one before, since a slow answer must not be taken for a lost one for ever.
+ * Computes how long to wait for an answer of the backend server before a call is sent again. On the same
+ * machine an answer takes a millisecond or two, so a long timeout after a lost answer leaves a task idle and
+ * its capacity occupied. The estimate is that of TCP's retransmission timer (RFC 6298): mean and mean
+ * deviation, and the timeout doubles with each retry, since otherwise a slow answer would always be treated as
+ * lost.
  */
 export default class AnswerTimeouts {
   private meanMs = INITIAL_MEAN_MS;
@@ -12,33 +12,33 @@
 
   private constructor() {}
 
-  /** Creates one that has seen no answer. */
+  /** Creates timeouts without any sample. */
   static create(): AnswerTimeouts {
     return new AnswerTimeouts();
   }
 
-  /** A call was answered at its first try. */
+  /** Adds the time that a call took which was answered without a retry. */
   addSample(tookMs: number): void {
     this.deviationMs += (Math.abs(tookMs - this.meanMs) - this.deviationMs) * DEVIATION_GAIN;
     this.meanMs += (tookMs - this.meanMs) * MEAN_GAIN;
   }
 
-  /** How long the answer to a call is waited for that was sent so many times before, ms. */
+  /** The timeout of a call that was sent this many times before, ms. */
   timeoutMs(triesBefore = 0): number {
     const once = Math.max(MIN_TIMEOUT_MS, this.meanMs + DEVIATION_FACTOR * this.deviationMs);
     return Math.min(MAX_TIMEOUT_MS, once * 2 ** triesBefore);
   }
 }
 
-/** Taken as the mean before any answer, ms: a process that has just started answers slowly. */
+/** Assumed mean before the first sample, ms: a process that has just started answers slowly. */
 const INITIAL_MEAN_MS = 20;
 
 const MEAN_GAIN = 1 / 8;
 const DEVIATION_GAIN = 1 / 4;
 const DEVIATION_FACTOR = 4;
 
-/** No answer is waited for less, ms: a turn of a process that has 0.4 of a core, and its garbage collector. */
+/** Minimum timeout, ms: one event-loop turn with garbage collection of a process that has 0.4 of a core. */
 const MIN_TIMEOUT_MS = 20;
 
-/** No answer is waited for longer, ms: what would take this long on the same machine is lost. */
+/** Maximum timeout, ms: on the same machine an answer that takes longer is lost. */
 const MAX_TIMEOUT_MS = 100;
--- a/src/runs/AttemptNumbers.ts
+++ b/src/runs/AttemptNumbers.ts
@@ -1,21 +1,21 @@
 import runLimits from './runLimits';
 
 /**
- * The highest attempt number used for each task at one backend server, which refuses a number that
- * is not higher than one that ended there. Only the newest few thousand tasks are remembered; a
- * number that turns out to be spent is raised and tried again.
+ * The highest attempt number used for each task at one backend server, which refuses numbers that are not
+ * higher than one that has ended there. Only the newest few thousand tasks are remembered; when a number turns
+ * out to be already used, the start is sent again with a higher one.
  */
 export default class AttemptNumbers {
   private readonly highest = new Map<string, number>();
 
   private constructor() {}
 
-  /** Creates numbers for a backend server on which nothing was started. */
+  /** Creates attempt numbers for a backend server on which nothing was started. */
   static create(): AttemptNumbers {
     return new AttemptNumbers();
   }
 
-  /** Takes the next number for the task, at least `lowest`. */
+  /** Allocates the next number for the task, at least `lowest`. */
   allocate(task: string, lowest: number): number {
     const next = Math.max(lowest, (this.highest.get(task) ?? 0) + 1, 1);
     this.highest.delete(task);
--- a/src/runs/BackendHealth.ts
+++ b/src/runs/BackendHealth.ts
@@ -3,21 +3,19 @@
 import type RunState from './RunState';
 
 /**
- * How well a backend server works, by what its runs show: how long they take against their
- * estimates, and how many fail. It answers a backend server that turns slow, hangs or fails all it
- * starts while its heartbeats stay good.
+ * Measures how well a backend server works: how long its runs take against their estimates, and how many fail.
+ * It detects backend servers that become slow, hang or fail everything while their heartbeats stay good.
  *
- * Slowness is the time that runs have spent over the work that they got done, both fading within
- * some hundred milliseconds in which something runs. It shows a slow or hanging backend server before
- * anything has ended there, and the errors of single estimates, some 40%, even out over the ten runs
+ * Slowness is the time that runs have taken divided by the work that they have completed. Both decay
+ * exponentially within some hundred milliseconds in which something runs. That shows a slow or hanging backend
+ * server before any run has ended, and the errors of single estimates, some 40%, average out over the ten runs
  * that it usually has.
  *
- * While nothing runs, the finding stands: else a slow backend server that is given nothing would seem
- * sound again after a second and be filled anew. What stands weighs little then, so that two or three
- * trials show its return.
+ * While nothing runs, the value is kept: otherwise a slow backend server without work would look healthy after
+ * a second and be filled again. Its weight is reduced, so that two or three probes show a recovery.
  */
 export default class BackendHealth {
-  /** How fast work goes there while it is well. */
+  /** How long work takes there against its estimates while it is healthy. */
   readonly durations = DurationRatioEstimator.create();
 
   private elapsedMs = 0;
@@ -37,18 +35,18 @@
     return new BackendHealth(timer);
   }
 
-  /** Time that work takes against its estimates; undefined while too little is known. */
+  /** Recent time taken divided by the estimates of the work completed; undefined while too little is known. */
   get slowness(): number | undefined {
     if (this.elapsedMs < MIN_ELAPSED_MS) return undefined;
     return Math.min(MAX_SLOWNESS, this.elapsedMs / Math.max(this.progressMs, 1));
   }
 
-  /** Share of the newest ends that were failures, 0 to 1. */
+  /** Share of the most recent ends that were failures, 0 to 1. */
   get failureRate(): number {
     return this.failureAverage;
   }
 
-  /** Counts the time since the last look for the runs that go on. */
+  /** Adds the time since the last sample for each running run. */
   sample(running: Iterable<RunState>): void {
     const now = this.timer.now();
     const sinceMs = now - this.sampledAt;
@@ -66,19 +64,19 @@
     this.elapsedMs += elapsed.reduce((sum, ms) => sum + ms, 0);
   }
 
-  /** Keeps the finding, with the weight of a single run, for when work is tried again. */
+  /** Keeps the ratio, but only with the weight of a single run, for when work is started again. */
   private reduceWeight(): void {
     if (this.elapsedMs <= IDLE_ELAPSED_MS) return;
     this.progressMs *= IDLE_ELAPSED_MS / this.elapsedMs;
     this.elapsedMs = IDLE_ELAPSED_MS;
   }
 
-  /** A run was seen to have come this much further, in hundredths of its work. */
+  /** A run has completed this much more of its work, in percent. */
   addProgress({ request }: RunState, percent: number): void {
     this.progressMs += (Math.max(0, percent) / PERCENT) * request.estimateMs;
   }
 
-  /** A run has ended by itself. */
+  /** A run has ended without being stopped. */
   recordEnd(state: RunState, isSuccess: boolean): void {
     this.failureAverage += ((isSuccess ? 0 : 1) - this.failureAverage) * FAILURE_WEIGHT;
     if (!isSuccess) return;
@@ -92,20 +90,23 @@
 
 const PERCENT = 100;
 
-/** How fast what was seen fades, ms: a few looks of a busy backend server. */
+/** Time constant of the decay, ms: a few polls of a busy backend server. */
 const DECAY_MS = 300;
 
-/** Time of runs that has to be seen before anything is said, ms: one run for that long, or ten for a tenth. */
+/** Run time to measure before a value is given, ms: one run for that long, or ten for a tenth of it. */
 const MIN_ELAPSED_MS = 150;
 
-/** Weight of the finding on a backend server that is given nothing, as time of runs, ms. */
+/** Weight of the value while nothing runs, as run time, ms. */
 const IDLE_ELAPSED_MS = 200;
 
-/** The highest slowness told: nothing is decided by more. */
+/** The highest slowness reported: higher values make no difference to any decision. */
 const MAX_SLOWNESS = 100;
 
-/** Times the estimates from which a backend server is ill, or a task longer than its kind: neither shows its speed. */
+/**
+ * Ratio of duration to estimate from which a backend server counts as unhealthy, or a task as an outlier.
+ * Neither shows how fast the machine is.
+ */
 const ABNORMAL_RATIO = 4;
 
-/** Weight of the newest end: three failures in a row make more than half. */
+/** Weight of the newest end: three failures in a row raise the rate above a half. */
 const FAILURE_WEIGHT = 0.25;
--- a/src/runs/BackendHeartbeat.ts
+++ b/src/runs/BackendHeartbeat.ts
@@ -1,21 +1,24 @@
 import type Resources from '../room/Resources';
 
-/** What a backend server announces of itself with each heartbeat. */
+/** A heartbeat, as a backend server sends it. */
 export default interface BackendHeartbeat {
-  /** Its name; whether each life of it has one of its own is told by whether it tells `born`. */
+  /**
+   * The name of the backend server. If `born` is given, it is kept across incarnations; if not, each
+   * incarnation has its own.
+   */
   readonly id: string;
-  /** When this life started, whole ms since 1970; a later life under the same id has a later one. */
+  /** When this incarnation started, whole ms since 1970; rises with each incarnation under the same id. */
   readonly born?: number;
-  /** Where it takes calls, "ip:port". */
+  /** Where it accepts calls, "ip:port". */
   readonly address: string;
   readonly service: string;
   readonly capacity: Resources;
   /** Its kind and its rack. */
   readonly labels: readonly string[];
-  /** True once it takes no new tasks because it is about to leave. */
+  /** True once it accepts no new tasks because it is about to shut down. */
   readonly draining: boolean;
-  /** Its steady clock when it sent this, ms. */
+  /** Its monotonic clock when it sent this, ms. */
   readonly clockMs: number;
-  /** Rises with each heartbeat, so that a late one is recognised. */
+  /** Rises with each heartbeat, so that heartbeats that arrive out of order are detected. */
   readonly sequence: number;
 }
--- a/src/runs/BackendIncarnation.ts
+++ b/src/runs/BackendIncarnation.ts
@@ -20,15 +20,18 @@
 import taskKey from './taskKey';
 
 /**
- * One life of a backend server, from its first heartbeat to its end. It is the only caller of that
- * backend server, so it alone decides what is started there: a run takes its room before its start
- * is sent and gives it back when its end is certain.
+ * One incarnation of a backend server, from its first heartbeat to its end. It makes all calls to that backend
+ * server and alone decides what is started there: capacity is allocated to a run before its start is sent, and
+ * freed when the run is known to have ended.
  */
 export default class BackendIncarnation {
-  /** Orders that wait for an earlier run of the same task to be over here. */
+  /** Start requests that wait for an earlier run of the same task to end here. */
   private readonly successors = new Map<string, RunRequest>();
 
-  /** Orders that came when there was no room, oldest first: entries decide at the same time. */
+  /**
+   * Start requests that arrived when capacity was short, oldest first: entries decide independently of each
+   * other.
+   */
   private waitingRequests: RunRequest[] = [];
 
   private readonly liveness: BackendLiveness;
@@ -43,10 +46,10 @@
 
   private latestHeartbeat: BackendHeartbeat;
 
-  /** Whether it has said that it ends now. */
+  /** Whether the backend server has announced that it shuts down now. */
   private isLeaving = false;
 
-  /** How well it works, by its runs. */
+  /** How well it works, measured by its runs. */
   readonly health: BackendHealth;
 
   private constructor(private readonly opts: BackendIncarnationOptions) {
@@ -82,19 +85,19 @@
     this.poller = BackendPoller.create({ ...shared, health, commands, id: report.id, onChange });
   }
 
-  /** Takes over a backend server: ends what an earlier sidecar left running, then takes tasks. */
+  /** Begins to serve a backend server: stops what an earlier sidecar left running, then accepts tasks. */
   static begin(opts: BackendIncarnationOptions): BackendIncarnation {
     const incarnation = new BackendIncarnation(opts);
     incarnation.poller.run().catch((error: unknown) => incarnation.abandon(error));
     return incarnation;
   }
 
-  /** The newest heartbeat. */
+  /** The latest heartbeat. */
   get heartbeat(): BackendHeartbeat {
     return this.latestHeartbeat;
   }
 
-  /** Whether new tasks are taken now. */
+  /** Whether new tasks are accepted now. */
   get isAccepting(): boolean {
     const { state, isUnresponsive } = this.liveness;
     const isOpen =
@@ -108,27 +111,28 @@
     return state === 'open' || state === 'silent';
   }
 
-  /** What neither a run nor one that is being stopped takes. */
+  /** The capacity not occupied by runs, including those being stopped. */
   get free(): Resources {
     if (this.activeRuns.hasExclusiveRun) return Resources.none;
     return this.latestHeartbeat.capacity.minus(this.activeRuns.allocated);
   }
 
-  /** What the owner's runs take. */
+  /** The capacity that the owner's runs occupy. */
   allocatedTo(owner: object): Resources {
     return this.activeRuns.allocatedTo(owner);
   }
 
-  /** Runs that are not certainly over. */
+  /** Runs that are not known to have ended, and waiting start requests. */
   get size(): number {
     return this.activeRuns.size + this.successors.size + this.waitingRequests.length;
   }
 
-  /** Takes a later heartbeat of the same life; one that came late is ignored. */
+  /** Applies a later heartbeat of the same incarnation; one that arrives out of order is ignored. */
   handleHeartbeat(report: BackendHeartbeat): void {
     if (report.sequence < this.latestHeartbeat.sequence) return;
     const before = this.latestHeartbeat;
-    // A backend server that leaves sends no more, so the word that it does was that of an earlier life.
+    // A backend server that shuts down sends no more heartbeats, so the announcement came from an earlier
+    // incarnation.
     const isBack = this.isLeaving && report.born !== undefined && !report.draining;
     if (isBack) this.isLeaving = false;
     this.latestHeartbeat = { ...report, draining: before.draining || report.draining };
@@ -136,7 +140,7 @@
     const isDraining = this.latestHeartbeat.draining && !before.draining;
     const hasOtherCapacity = !report.capacity.equals(before.capacity);
     if (isDraining) this.logState('the backend server is draining: it gets no new tasks');
-    if (hasOtherCapacity) this.logState('the room of the backend server has changed');
+    if (hasOtherCapacity) this.logState('the capacity of the backend server has changed');
     if (isDraining || hasOtherCapacity || isBack) this.opts.onChange();
   }
 
@@ -150,15 +154,15 @@
     });
   }
 
-  /** The backend server has said that it ends now: nothing new is started. */
+  /** The backend server has announced that it shuts down now: nothing new is started. */
   handleLeaving(): void {
     if (this.isLeaving) return;
     this.isLeaving = true;
-    this.logState('the backend server leaves: it gets no new tasks');
+    this.logState('the backend server is shutting down: it gets no new tasks');
     this.opts.onChange();
   }
 
-  /** Starts a task, or says why not. The request is told how it ended in either case. */
+  /** Starts a task or refuses the request. Either way the request's `onEnded` is called with the outcome. */
   start(request: RunRequest): void {
     const refusal = this.refusalOf(request);
     if (refusal === NO_CAPACITY && this.waitingRequests.length < runLimits.maxWaitingRequests) {
@@ -174,7 +178,7 @@
     else this.commands.start(request);
   }
 
-  /** Stops the runs of an owner for which the predicate holds. */
+  /** Stops the owner's runs that match. */
   stop(owner: object, cause: StopCause, matches: (request: RunRequest) => boolean): void {
     const isSelected = (request: RunRequest): boolean =>
       request.owner === owner && matches(request);
@@ -191,7 +195,7 @@
       .forEach((run) => this.commands.stop(run, cause));
   }
 
-  /** Whether runs of the owner are not certainly over. */
+  /** Whether the owner has runs that are not known to have ended, or waiting start requests. */
   hasRunsOf(owner: object): boolean {
     const held = [...this.activeRuns.all].map(({ request }) => request);
     const all = [...held, ...this.successors.values(), ...this.waitingRequests];
@@ -203,7 +207,7 @@
     return this.activeRuns.countOfStep({ batch, step }) > 0;
   }
 
-  /** Ends this life: the backend server is known to be gone, with everything that ran there. */
+  /** Ends this incarnation: the backend server is known to be gone, with everything that ran there. */
   end(reason: string, how: IncarnationEnd): void {
     this.liveness.end(reason, how);
   }
@@ -211,7 +215,7 @@
   private handleEnd(reason: string, how: IncarnationEnd): void {
     const { backend, log, onEnded, onChange } = this.opts;
     const { id, born, draining, address } = this.latestHeartbeat;
-    // One that has said that it leaves is gone as planned.
+    // Ending after an announced shutdown is not a crash.
     const isAbandoned = how === 'abandoned';
     const isCrash = !isAbandoned && !draining && !this.isLeaving;
     const role = crashRoleOf(this.activeRuns.all, this.opts.hasCrashedRecently());
@@ -219,7 +223,8 @@
     const running = this.activeRuns.size;
     log.warn('the backend server is gone', { backend: id, born, reason, how, isCrash, running });
     const { token } = this.lease;
-    // The next life reckons leases by a clock of its own, so its clearing is awaited.
+    // The next incarnation measures leases by a clock of its own, so runs stay in doubt until it has been
+    // cleared.
     const mayComeBack = how === 'gone' || how === 'reborn';
     const settledInMs = mayComeBack ? runLimits.nextIncarnationMs : this.lease.msUntilExpired;
     const unsettled = this.activeRuns
@@ -243,7 +248,7 @@
 
   private handleResponsivenessChange(): void {
     const { isUnresponsive, silentMs } = this.liveness;
-    this.opts.log.info('whether the backend server answers has changed', {
+    this.opts.log.info('the backend server has become responsive or unresponsive', {
       backend: this.latestHeartbeat.id,
       isDoubted: isUnresponsive,
       silentMs: Math.round(silentMs),
@@ -273,7 +278,7 @@
     return undefined;
   }
 
-  /** Another entry's order was faster. The next end is a few milliseconds away on a busy server. */
+  /** Another entry's request was faster. On a busy server the next run ends within a few milliseconds. */
   private waitForCapacity(request: RunRequest): void {
     this.waitingRequests.push(request);
     this.opts.timer.after(runLimits.capacityWaitMs, () => this.refuseWaiting(request, NO_CAPACITY));
@@ -285,7 +290,7 @@
     refuse(request, reason);
   }
 
-  /** Starts what waited, now that there may be room. */
+  /** Retries the waiting start requests, now that there may be free capacity. */
   private startWaiting(): void {
     const { waitingRequests } = this;
     this.waitingRequests = [];
@@ -295,7 +300,9 @@
     });
   }
 
-  /** The same task again from another entry: the earlier run's caller has turned to that one. */
+  /**
+   * The same task was requested again by another entry: the caller of the earlier run has turned to that entry.
+   */
   private replaceRun(key: string, request: RunRequest): void {
     const before = this.successors.get(key);
     if (before) refuse(before, 'the same task was asked for again');
@@ -307,7 +314,7 @@
   }
 
   private logReplaced({ request, run, startedAt, stop }: RunState, next: RunRequest): void {
-    this.opts.log.info('a task is ordered that is still here', {
+    this.opts.log.info('a task is started again while an earlier run of it is active', {
       request: run.batch,
       step: run.step,
       index: run.index,
--- a/src/runs/BackendIncarnationOptions.ts
+++ b/src/runs/BackendIncarnationOptions.ts
@@ -4,20 +4,20 @@
 import type IncarnationClient from './IncarnationClient';
 import type IncarnationOutcome from './IncarnationOutcome';
 
-/** What one life of a backend server is served with. */
+/** What one incarnation of a backend server is served with. */
 export default interface BackendIncarnationOptions {
   readonly timer: TimerService;
   readonly report: BackendHeartbeat;
   readonly backend: IncarnationClient;
-  /** The highest fencing token that earlier lives under the id were sent; 0 for none. */
+  /** The highest fencing token sent to earlier incarnations under the id; 0 for none. */
   readonly previousToken: number;
   readonly log: EventLog;
-  /** Why nothing is started there now for reasons of its surroundings, if so. */
+  /** Why nothing may be started now for reasons outside the backend server, if so. */
   readonly startBlocker: () => string | undefined;
-  /** Told when the room, or whether it may be used, has changed. */
+  /** Called when the free capacity, or whether it may be used, has changed. */
   readonly onChange: () => void;
-  /** Whether the life before this one has crashed a short time ago. */
+  /** Whether the previous incarnation crashed a short time ago. */
   readonly hasCrashedRecently: () => boolean;
-  /** Told once, when this life has ended, before the owners of its runs are. */
+  /** Called once, when this incarnation has ended, before the owners of its runs are notified. */
   readonly onEnded: (outcome: IncarnationOutcome) => void;
 }
--- a/src/runs/BackendLease.ts
+++ b/src/runs/BackendLease.ts
@@ -5,16 +5,16 @@
 import runLimits from './runLimits';
 
 /**
- * The lease under which everything on a backend server runs, and the fencing token of what is ordered
- * there. Both are read off the backend server's own clock, which only rises and starts anew with it:
- * so the token rises over the restarts of sidecars without anything being stored. A backend server that
- * starts again under its id tells when it did; the token is then counted from that start, so that it
- * rises over its lives too, and it is above all that earlier lives were sent.
+ * The lease under which everything on a backend server runs, and the fencing token of the calls to it. Both are
+ * derived from the backend server's monotonic clock, which starts anew with its process: the token rises across
+ * restarts of sidecars without being stored. A backend server that restarts under the same id reports its start
+ * time. The token then counts from that time, so that it also rises across incarnations, and it is above all
+ * tokens that earlier incarnations were sent.
  */
 export default class BackendLease {
   private readonly clock: BackendClock;
 
-  /** The latest end ever sent, on the backend server's clock. */
+  /** The latest expiry ever sent, on the backend server's clock. */
   private latestExpiry = 0;
 
   private currentToken: number;
@@ -31,7 +31,7 @@
     this.currentToken = Math.max(above + 1, this.tokenAt(clockMs));
   }
 
-  /** Starts with a heartbeat that has just arrived; the token is above the one given. */
+  /** Creates a lease from a heartbeat that has just arrived; the token is above the one given. */
   static of(timer: TimerService, report: BackendHeartbeat, above = 0): BackendLease {
     return new BackendLease(timer, report.clockMs, report.born, above);
   }
@@ -41,24 +41,25 @@
     return this.currentToken;
   }
 
-  /** Whether every lease ever sent has surely passed, and what ran under it was killed. */
+  /** Whether every lease ever sent is known to have expired, and what ran under it to have been killed. */
   get hasExpired(): boolean {
     return this.clock.lowerBound() > this.latestExpiry + runLimits.killMs;
   }
 
-  /** Until that is so, ms. */
+  /** Upper bound of the time until that is so, ms. */
   get msUntilExpired(): number {
     return this.clock.upperBoundMsUntil(this.latestExpiry + runLimits.killMs);
   }
 
-  /** Takes a reading of the backend server's clock that has just arrived, ms. */
+  /** Applies a reading of the backend server's clock that has just arrived, ms. */
   updateClock(clockMs: number): void {
     this.clock.update(clockMs);
   }
 
   /**
-   * A lease from now, on the backend server's clock. It is that of everything that runs there, so while an entry that
-   * has runs there is silent it is prolonged no further than these may go on, whether they can be stopped or not.
+   * Returns the expiry of a renewed lease, on the backend server's clock. The lease covers everything that runs
+   * there, so while an entry with runs there is unresponsive it is extended no further than these runs may go
+   * on, whether they can be stopped or not.
    */
   renew(silentMs = 0): number {
     const overdueMs = Math.max(0, silentMs - pulseTimings.prolongMs);
@@ -68,8 +69,8 @@
   }
 
   /**
-   * A higher token than ours was seen there: one of an earlier sidecar. Over lives the clock may have fallen, so
-   * that it can be higher by any amount.
+   * The backend server has seen a higher token than ours, from an earlier sidecar. Across incarnations the
+   * clock may have been set back, so it can be higher by any amount.
    */
   raiseToken(): void {
     this.currentToken = Math.max(
@@ -84,5 +85,8 @@
   }
 }
 
-/** Most that the token is raised by at once, ms, 18 hours: at 50 refusals a second it stays a whole number for weeks. */
+/**
+ * The largest step by which the token is raised, ms, 18 hours: at 50 refusals a second it stays a whole number
+ * for weeks.
+ */
 const MAX_TOKEN_STEP_MS = 2 ** 26;
--- a/src/runs/BackendLiveness.ts
+++ b/src/runs/BackendLiveness.ts
@@ -3,16 +3,16 @@
 import type IncarnationEnd from './IncarnationEnd';
 
 interface LivenessHandlers {
-  /** Told once, when the life is known to be over. */
+  /** Called once, when the incarnation is known to have ended. */
   readonly onEnded: (reason: string, how: IncarnationEnd) => void;
-  /** Told when it comes to be doubted, and when it no longer is. */
+  /** Called when it becomes unresponsive, and when it no longer is. */
   readonly onResponsivenessChange: () => void;
 }
 
 /**
- * Whether a life of a backend server is still there, by what calls to it have shown.
- * `clearing`: what an earlier sidecar left running is being stopped. `open`: it answers.
- * `silent`: it has not answered for a while, and its lease is not renewed. `over`: it is gone.
+ * Whether an incarnation of a backend server is still there, judged by the calls to it. `clearing`: what an
+ * earlier sidecar left running is being stopped. `open`: it answers. `silent`: it has not answered for a while,
+ * and its lease is not renewed. `over`: it is gone.
  */
 export default class BackendLiveness {
   state: 'clearing' | 'open' | 'silent' | 'over' = 'clearing';
@@ -30,20 +30,20 @@
     this.answeredAt = timer.now();
   }
 
-  /** Starts before the first call. */
+  /** Create it before the first call. */
   static create(timer: TimerService, told: LivenessHandlers): BackendLiveness {
     return new BackendLiveness(timer, told);
   }
 
-  /** Whether the life is known to be over. */
+  /** Whether the incarnation is known to have ended. */
   get isEnded(): boolean {
     return this.state === 'over';
   }
 
   /**
-   * Whether the newest calls were not answered, so that it gets nothing new before it answers one. It
-   * answers a backend server that has just gone dark: each task sent there would be late, and a batch is
-   * as late as its last task. It comes long before the backend server counts as silent.
+   * Whether the latest calls were not answered; nothing new is started there until one is. This reacts to a
+   * backend server that has just become unreachable, long before its state is `silent`: each task sent there
+   * would be late, and a batch is as late as its last task.
    */
   get isUnresponsive(): boolean {
     return this.unansweredCalls >= UNRESPONSIVE_AFTER_CALLS;
@@ -63,7 +63,9 @@
     if (wasDoubted) this.handlers.onResponsivenessChange();
   }
 
-  /** Whether a failure shows that this life has ended; then it is ended here too. */
+  /**
+   * Records a failed call; returns whether this incarnation has ended, which it does if the failure proves it.
+   */
   endsWithFailure(failure: BackendRunFailure): boolean {
     if (this.isEnded) return true;
     if (failure.kind === 'replaced' || failure.kind === 'reborn') {
@@ -78,7 +80,7 @@
     return true;
   }
 
-  /** The life is over. */
+  /** Ends the incarnation. */
   end(reason: string, how: IncarnationEnd): void {
     if (this.isEnded) return;
     this.state = 'over';
@@ -91,8 +93,14 @@
   }
 }
 
-/** Calls in a row without an answer after which a backend server gets nothing new: one may be lost. */
+/**
+ * Unanswered calls in a row after which nothing new is started on a backend server: a single answer may be
+ * lost.
+ */
 const UNRESPONSIVE_AFTER_CALLS = 2;
 
-/** Connections refused in a row by which nothing listens there any more: one could be a restart's gap. */
+/**
+ * Refused connections in a row after which the backend server is gone: a single one could be a gap during a
+ * restart.
+ */
 const GONE_AFTER_REFUSED_CONNECTIONS = 2;
--- a/src/runs/BackendPoller.ts
+++ b/src/runs/BackendPoller.ts
@@ -26,18 +26,18 @@
   readonly log: EventLog;
   /** The backend server's id, for logs. */
   readonly id: string;
-  /** Told when room, or whether it may be used, has changed. */
+  /** Called when the free capacity, or whether it may be used, has changed. */
   readonly onChange: () => void;
 }
 
 /**
- * Looks at what runs on a backend server and what has ended, again and again. Each look renews the
- * lease and waits there for the next end, so that an end is heard at once.
+ * Polls a backend server for running and ended runs. Each poll renews the lease and waits at the backend server
+ * for the next end, so that ends arrive without delay.
  */
 export default class BackendPoller {
   private readonly wakeup = Wakeup.create();
 
-  /** Ends are heard up to this number. */
+  /** The highest end number that was processed. */
   private processedEnd = 0;
 
   private acknowledgedEnd = 0;
@@ -46,17 +46,17 @@
 
   private constructor(private readonly opts: BackendPollerOptions) {}
 
-  /** Creates the looks at one life of a backend server; nothing is sent before `run`. */
+  /** Creates the poller of one incarnation; nothing is sent before `run`. */
   static create(opts: BackendPollerOptions): BackendPoller {
     return new BackendPoller(opts);
   }
 
-  /** There is something to look at. */
+  /** Wakes the poller when it is idle. */
   pollSoon(): void {
     this.wakeup.wake();
   }
 
-  /** Ends what an earlier sidecar left running, then looks until the life is over. */
+  /** Stops what an earlier sidecar left running, then polls until the incarnation has ended. */
   async run(): Promise<void> {
     const { activeRuns, liveness } = this.opts;
     await this.stopLeftovers();
@@ -79,7 +79,7 @@
           this.open();
           return;
         }
-        log.info('stopping what an earlier process left running', { running: running.length });
+        log.info('stopping runs that an earlier process left behind', { running: running.length });
         await Promise.all(running.map(({ run }) => backend.stop(run, lease.token, timeoutMs)));
       } else {
         if (liveness.endsWithFailure(res.error)) return;
@@ -92,7 +92,7 @@
   private open(): void {
     const { onChange, id, lease, log, liveness } = this.opts;
     liveness.state = 'open';
-    log.info('the backend server takes tasks', { backend: id, token: lease.token });
+    log.info('the backend server accepts tasks', { backend: id, token: lease.token });
     onChange();
   }
 
@@ -106,7 +106,7 @@
       isSilent || this.unansweredPolls > 0 || activeRuns.hasUnverifiedStop
         ? 0
         : runLimits.pollWaitMs;
-    // What cannot be known to go on is not prolonged, so that it is soon known to be over.
+    // Runs that may be lost are not extended, so that they are soon known to have ended.
     const mayHaveEnded = isSilent || this.unansweredPolls >= runLimits.silentAfterPolls;
     const leaseUntil = mayHaveEnded ? undefined : lease.renew(activeRuns.silentMs);
     const timeoutMs = timeouts.timeoutMs(this.unansweredPolls);
@@ -115,7 +115,7 @@
     if (liveness.isEnded) return;
     if (res.isErr()) {
       await this.handleFailure(res.error);
-      // A call that failed by its time has waited already; one whose connection breaks has not.
+      // A call that timed out has waited already; one whose connection broke has not.
       await timer.sleep(Math.max(0, runLimits.retryDelayMs - (timer.now() - sentAt)));
       return;
     }
@@ -148,7 +148,11 @@
     const { kind, reason } = failure;
     if (kind === 'closed') return;
     this.unansweredPolls += 1;
-    log.warn('a renewal was not answered', { kind, reason, unanswered: this.unansweredPolls });
+    log.warn('a lease renewal was not answered', {
+      kind,
+      reason,
+      unanswered: this.unansweredPolls,
+    });
     const isSilent =
       this.unansweredPolls >= runLimits.silentAfterPolls &&
       liveness.silentMs >= runLimits.silentAfterMs;
@@ -164,7 +168,7 @@
   private markSilent(): void {
     const { onChange, activeRuns, id, log, liveness } = this.opts;
     liveness.state = 'silent';
-    log.warn('the backend server is silent: its lease is no longer renewed', {
+    log.warn('the backend server does not answer: its lease is no longer renewed', {
       backend: id,
       running: activeRuns.size,
     });
--- a/src/runs/BackendRunClient.ts
+++ b/src/runs/BackendRunClient.ts
@@ -5,16 +5,16 @@
 import type RunId from './RunId';
 
 /**
- * The calls to one life of a backend server that runs tasks under a lease. Every call names the
- * fencing token; a backend server that has seen a higher one does nothing.
+ * Client of one incarnation of a backend server that runs tasks under a lease. Every call carries the fencing
+ * token; a backend server that has seen a higher one rejects it.
  *
- * A call that fails as `unanswered` may have been carried out, and may still be, seconds later. Each
- * call says how long its answer is waited for, ms.
+ * A call that fails as `unanswered` may have been executed, and may still be, seconds later. Each call has its
+ * own timeout for the answer, ms.
  */
 export default interface BackendRunClient {
   /**
-   * Starts a run; also fine when that run is already there. `leaseUntil` is a time on the backend
-   * server's clock, up to which everything there may run.
+   * Starts a run; succeeds if that run is already there. `leaseUntil` is a time on the backend server's clock
+   * up to which everything there may run.
    */
   start(
     run: RunId,
@@ -24,12 +24,13 @@
     timeoutMs: number,
   ): ResultAsync<BackendRefusal | 'started', BackendRunFailure>;
 
-  /** Stops a run. Once this is acknowledged, a start of it that is still under way is refused. */
+  /** Stops a run. Once this is acknowledged, a start of it that is still in flight is refused. */
   stop(run: RunId, token: number, timeoutMs: number): ResultAsync<void, BackendRunFailure>;
 
   /**
-   * Renews the lease of everything there, forgets the ends up to `seenEnd`, and tells what runs and
-   * what ended. It waits there up to `waitMs` for an end, and then `timeoutMs` for the answer. Without `leaseUntil` nothing is renewed.
+   * Renews the lease of everything there, acknowledges ends up to `seenEnd`, and returns what runs and what has
+   * ended. The backend server waits up to `waitMs` for an end, and the answer may take `timeoutMs` more.
+   * Without `leaseUntil` nothing is renewed.
    */
   poll(
     seenEnd: number,
--- a/src/runs/CapacityOffers.ts
+++ b/src/runs/CapacityOffers.ts
@@ -4,17 +4,17 @@
 import type EntryLink from './EntryLink';
 import capacityOfferTimes from './capacityOfferTimes';
 
-/** What one entry waits for here. */
+/** The demand of one entry for capacity of this backend server. */
 interface EntryDemand {
   readonly rank: number;
-  /** By when its first task has to start, by this process's clock. */
+  /** When its first task has to start at the latest, by this process's clock. */
   readonly dueAt: number;
   readonly needs: Resources;
-  /** It has let an offer pass, and others are asked first until this time. */
+  /** It let an offer expire, so other entries go first until this time. */
   readonly deprioritizedUntil: number;
 }
 
-/** Room that is kept for one entry for a moment. */
+/** Free capacity that is reserved for one entry for a short time. */
 interface Offer {
   readonly entryLink: EntryLink;
   readonly number: number;
@@ -22,10 +22,10 @@
 }
 
 /**
- * Whose turn it is to use the room that is left. It answers the load in which several entries wait:
- * told of the same room at the same moment, all of them would order it, all but one in vain, and the
- * most urgent batch would win by chance only. So room is offered to one entry after the other, the
- * most urgent first; who does not use an offer within a round trip lets it pass.
+ * Decides which entry may use scarce free capacity. When several entries wait and all learn of it at the same
+ * time, all of them request it, all but one in vain, and the most urgent batch wins only by chance. So capacity
+ * is offered to one entry at a time, the most urgent first. An offer that is not used within a round trip
+ * expires.
  */
 export default class CapacityOffers {
   private readonly demands = new Map<EntryLink, EntryDemand>();
@@ -36,27 +36,27 @@
 
   private constructor(private readonly timer: TimerService) {}
 
-  /** Creates turns for which nobody waits. */
+  /** Creates offers without any demand. */
   static create(timer: TimerService): CapacityOffers {
     return new CapacityOffers(timer);
   }
 
-  /** The number of the offer that is open now. */
+  /** The number of the open offer. */
   get offerNumber(): number | undefined {
     return this.offer?.number;
   }
 
-  /** When the offer that is open now passes on, by the timer service. */
+  /** When the open offer expires, by the timer service. */
   get offerExpiresAt(): number | undefined {
     return this.offer?.untilMs;
   }
 
-  /** Whether some entry waits for room here. */
+  /** Whether any entry waits for capacity here. */
   get hasDemand(): boolean {
     return this.demands.size > 0;
   }
 
-  /** Takes what an entry says of its line. */
+  /** Applies an entry's report of its backlog. */
   setDemand(entryLink: EntryLink, { waiting, rank, slackMs, needs }: Demand): void {
     if (!waiting) {
       this.removeEntry(entryLink);
@@ -72,18 +72,18 @@
     });
   }
 
-  /** An entry has ordered something: if it was its turn, that is over. */
+  /** An entry has sent a start request, which uses up its offer. */
   consumeOffer(entryLink: EntryLink): void {
     if (this.offer?.entryLink === entryLink) this.offer = undefined;
   }
 
-  /** An entry waits for nothing, or its link has ended. */
+  /** The entry has no demand, or its link has ended. */
   removeEntry(entryLink: EntryLink): void {
     this.demands.delete(entryLink);
     this.consumeOffer(entryLink);
   }
 
-  /** Who may use this much room now: it is too little for all that wait when nobody may. */
+  /** Which entry may use the free capacity now. `nobody`: it is too small for each waiting entry. */
   assign(free: Resources): EntryLink | 'anybody' | 'nobody' {
     const now = this.timer.now();
     this.expireOffer(now);
@@ -114,5 +114,5 @@
   return byPriority || a.rank - b.rank || a.dueAt - b.dueAt;
 }
 
-/** How long others go first after an offer was let pass, ms: the entry has found room elsewhere. */
+/** How long other entries go first after an entry let an offer expire, ms: it has found capacity elsewhere. */
 const DEPRIORITIZED_MS = 10;
--- a/src/runs/CapacityReports.ts
+++ b/src/runs/CapacityReports.ts
@@ -10,21 +10,21 @@
 import type CapacityOffers from './CapacityOffers';
 import type LocalBackend from './LocalBackend';
 
-/** What an entry was told last, and what it had here then. */
+/** The last report sent to an entry, and what its runs occupied here then. */
 interface SentReport {
   readonly room: Room;
   readonly allocated: Resources;
-  /** The offer that it was told of. */
+  /** The offer that the report announced. */
   readonly offer: number | undefined;
 }
 
 /**
- * Tells the entries what room there is. An entry knows what its own orders take and give back, so a
- * report is only about what the others do: one is sent when what an entry believes is wrong by more than a
- * task or so. An entry that believes in too little room asks for some when it needs it, and gets it by
- * offers; one that believes in too much has an order refused, and believes in none from then on. While
- * entries wait for room, only those hear of it, in their turn. So reports cost little however many
- * entries are linked, and most when nothing waits.
+ * Reports free capacity to the entries. An entry knows what its own runs occupy and free, so a report is only
+ * about the runs of other entries: it is sent when the entry's view is wrong by more than about one task. An
+ * entry that assumes too little reports its demand when it needs more, and gets offers; one that assumes too
+ * much has a start request refused, and assumes none from then on. While entries wait for capacity, it is
+ * reported only to the entry that is offered it. So reports cost little however many entries are linked, and
+ * most when nothing waits.
  */
 export default class CapacityReports {
   private readonly sentReports = new Map<EntryLink, SentReport>();
@@ -33,7 +33,7 @@
 
   private isScheduled = false;
 
-  /** The life of which a speed was told, and which. */
+  /** The incarnation whose duration ratio was reported last, and the value. */
   private reportedRatio:
     { readonly backend: string; readonly ratio: number | undefined } | undefined;
 
@@ -45,7 +45,7 @@
     private readonly log: EventLog,
   ) {}
 
-  /** Creates the reports of a sidecar to the owners linked. */
+  /** Creates the reports of a sidecar to the entries linked. */
   static create(
     timer: TimerService,
     backend: LocalBackend,
@@ -56,25 +56,25 @@
     return new CapacityReports(timer, backend, offers, entryLinks, log);
   }
 
-  /** Something has changed: whoever should hear of it is told after this turn. */
+  /** Something has changed: reports that are due are sent in a microtask. */
   scheduleUpdate(): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
     queueMicrotask(() => this.sendUpdates());
   }
 
-  /** Forgets an owner whose link has ended. */
+  /** Forgets an entry whose link has ended. */
   removeEntry(entryLink: EntryLink): void {
     this.sentReports.delete(entryLink);
     this.offers.removeEntry(entryLink);
   }
 
-  /** The owner has ordered something: an offer that it had is used. */
+  /** The entry has sent a start request, which uses up its offer. */
   handleStart(entryLink: EntryLink): void {
     if (this.sentReports.get(entryLink)?.room.inTurns) this.handleRefusal(entryLink);
   }
 
-  /** An order of the owner was refused, after which it believes that there is no room. */
+  /** A start request was refused, after which the entry assumes that there is no free capacity. */
   handleRefusal(entryLink: EntryLink): void {
     const before = this.sentReports.get(entryLink);
     if (!before) return;
@@ -102,7 +102,7 @@
       this.scheduleOfferExpiry(this.offers.offerExpiresAt);
   }
 
-  /** An entry drops an offer that it has not used by itself, and is not told. */
+  /** Entries drop unused offers by themselves, so no report is sent. */
   private clearExpiredOffers(): void {
     const open = this.offers.offerNumber;
     this.sentReports.forEach(({ room, offer }, entryLink) => {
@@ -116,7 +116,7 @@
     });
   }
 
-  /** Looks again when an offer passes on. */
+  /** Updates the reports when the open offer expires. */
   private scheduleOfferExpiry(untilMs: number): void {
     this.offerTimer?.cancel();
     this.offerTimer = this.timer.after(untilMs - this.timer.now(), () => this.scheduleUpdate());
@@ -134,7 +134,7 @@
     if (before && !needsUpdate(room, before, allocated, isWrong)) return;
     const value = create(RoomSchema, { ...room, newestOrder: entryLink.newestOrder });
     this.sentReports.set(entryLink, { room: value, allocated, offer });
-    // What has ended is free in this report, and would be counted twice if it were told later.
+    // This report includes what ended runs have freed; sending those ends later would count it twice.
     entryLink.flushEnds();
     entryLink.link.send({ case: 'room', value });
   }
@@ -163,7 +163,10 @@
     const previous = this.reportedRatio?.backend === backend ? this.reportedRatio.ratio : undefined;
     const ratio = quantizedRatio(previous, measured);
     if (ratio !== previous)
-      this.log.info('the speed of the backend server is told', { times: ratio, told: previous });
+      this.log.info('the duration ratio reported to entries has changed', {
+        times: ratio,
+        told: previous,
+      });
     this.reportedRatio = { backend, ratio };
     return ratio;
   }
@@ -171,7 +174,7 @@
 
 const noCapacity = toAmount(Resources.none);
 
-/** Whether an entry that believes in so much of one kind of resource is to be told that it is wrong. */
+/** Whether an entry must be corrected that assumes so much of one kind of resource. */
 type IsWrong = (actual: number, assumed: number, allowed: number) => boolean;
 
 const isOverestimate: IsWrong = (actual, assumed, allowed) =>
@@ -180,7 +183,7 @@
 const isMisestimate: IsWrong = (actual, assumed, allowed) =>
   actual - assumed > allowed || isOverestimate(actual, assumed, allowed);
 
-/** Whether an entry that was told `before` and has `held` here now should hear of the room as it is. */
+/** Whether an entry with this last report, and these allocations now, needs a new report. */
 function needsUpdate(
   room: Room,
   before: SentReport,
@@ -200,14 +203,14 @@
   });
 }
 
-/** What a report tells besides amounts and labels. */
+/** Fields of a report other than amounts and labels. */
 const comparedFields = ['backend', 'service', 'accepting', 'slowness', 'failing', 'speed'] as const;
 
 const resourceKinds = ['cpuMilli', 'memoryMb', 'accelerators'] as const;
 
 /**
- * Coarse steps, so that small changes make no message: powers of the square root of two from twice
- * the estimates on. Less than that is the error of the estimates, and decides nothing.
+ * Rounds to coarse steps, so that small changes cause no message: powers of the square root of two, from twice
+ * the estimates on. Lower values are within the error of the estimates and affect no decision.
  */
 function quantizedSlowness(slowness: number): number {
   if (slowness <= 0) return 0;
@@ -217,11 +220,14 @@
 
 const THOUSAND = 1000;
 
-/** Share of failures from which a backend server is called failing; a failing one soon has all. */
+/** Failure rate from which a backend server is reported as failing; a failing one soon reaches 1. */
 const MIN_FAILING_RATE = 0.5;
 
-/** By how much of what is left an entry may believe in more: of the last few tasks' room it has to know exactly. */
+/**
+ * By how much an entry may overestimate free capacity, as a share of what is left: near the limit it has to be
+ * exact to the last few tasks.
+ */
 const MAX_EXCESS_SHARE = 0.5;
 
-/** By how much of the whole an entry's belief may be wrong: one large task. */
+/** By how much an entry's view may be wrong, as a share of the total: one large task. */
 const MAX_ERROR_SHARE = 0.2;
--- a/src/runs/EndedIncarnations.ts
+++ b/src/runs/EndedIncarnations.ts
@@ -7,27 +7,27 @@
 
 interface EndedIncarnation extends Incarnation {
   readonly token: number;
-  /** When the life started that is known to have followed, as that tells. */
+  /** Reported start time of the incarnation that is known to have followed. */
   readonly successorBorn: number | undefined;
 }
 
 /**
- * Lives of backend servers that are known to have ended, the newest of each id. Which is newer is told by when they
- * started, unless one has answered in place of the other.
+ * Incarnations of backend servers that are known to have ended, the latest of each id. They are ordered by
+ * start time, unless one has answered in place of the other.
  */
 export default class EndedIncarnations {
   private readonly incarnations = new Map<string, EndedIncarnation>();
 
   private constructor() {}
 
-  /** Creates one that knows of none. */
+  /** Creates an empty set. */
   static create(): EndedIncarnations {
     return new EndedIncarnations();
   }
 
   /**
-   * Remembers a life, with the highest fencing token that was sent there, and when the life started that has
-   * answered in its place, as that tells.
+   * Adds an incarnation with the highest fencing token that was sent to it, and the reported start time of the
+   * incarnation that has answered in its place.
    */
   add(incarnation: Incarnation, token = 0, successorBorn?: number): void {
     const { id } = incarnation;
@@ -50,7 +50,7 @@
       this.incarnations.delete(oldest);
   }
 
-  /** Whether a life is one of them, or was there before one of them. */
+  /** Whether an incarnation is one of them, or came before one of them. */
   has(incarnation: Incarnation): boolean {
     const ended = this.incarnations.get(incarnation.id);
     return (
@@ -60,7 +60,7 @@
     );
   }
 
-  /** The highest fencing token that was sent to lives of the id; 0 when none was. */
+  /** The highest fencing token sent to any incarnation of the id; 0 for none. */
   tokenOf(id: string): number {
     return this.incarnations.get(id)?.token ?? 0;
   }
@@ -70,5 +70,5 @@
   return born !== undefined && born === successorBorn;
 }
 
-/** Ended lives to remember; a heartbeat is late by seconds, in which only a few can end. */
+/** Incarnations to remember; heartbeats are late by seconds, in which only a few can end. */
 const MAX_REMEMBERED = 64;
--- a/src/runs/EntryLink.ts
+++ b/src/runs/EntryLink.ts
@@ -25,43 +25,46 @@
   readonly backend: LocalBackend;
   readonly link: Link;
   readonly log: EventLog;
-  /** Whether entries wait for room here, so that each end is of use at once. */
+  /** Whether entries wait for capacity here, so that the end of each run is needed without delay. */
   readonly isCapacityScarce: () => boolean;
-  /** Told of each order that was refused. */
+  /** Called for each start request that was refused. */
   readonly onRefusal: () => void;
-  /** Counts orders that are over, by outcome. */
+  /** Counts ended start requests, by outcome. */
   readonly outcomes: Map<string, number>;
-  /** Counts runs that were stopped and are over, by cause. */
+  /** Counts runs that were stopped and have ended, by cause. */
   readonly stops: Map<string, number>;
 }
 
 /**
- * One entry's link, with the runs that it has ordered. They are the entry's only as long as it is
- * known to be awake: each of its pulses returns a reading of this process's clock, which proves that
- * the entry was awake after that. When the proof grows old, the runs are stopped, since the caller
- * may be about to submit its job to another entry.
+ * The link to one entry, with the runs that the entry has requested. They go on only while the entry is known
+ * to be alive: each of its pulses echoes a reading of this process's clock, which proves that the entry was
+ * alive after that time. When the proof becomes too old, the runs are stopped, since the caller may be about to
+ * resubmit its job to another entry.
  */
 export default class EntryLink implements RunOwner {
-  /** The newest order number that has arrived. */
+  /** The highest request number received. */
   newestOrder = 0;
 
-  /** The newest time at which the entry was surely awake, by this process's clock; none before the first. */
+  /**
+   * The latest time at which the entry is known to have been alive, by this process's clock; undefined before
+   * the first proof.
+   */
   private confirmedAt: number | undefined;
 
-  /** Pulses sent before this prove nothing: this process may have been suspended. */
+  /** Echoes of readings before this time prove nothing: this process may have been suspended. */
   private ignoreEchoesBefore = -Infinity;
 
   private entryClockMs = 0;
 
-  /** When the runs are stopped unless the entry is confirmed before. */
+  /** Stops the runs unless the entry is confirmed alive before. */
   private silenceTimer: Subscription | undefined;
 
-  /** When the last pulse was sent, and whether it went along with something else. */
+  /** When the last pulse was sent, and whether it was piggybacked on another message. */
   private pulsedAt = -Infinity;
 
   private wasPiggybacked = false;
 
-  /** The next pulse, when it is due between two turns of all. */
+  /** The next pulse, if it is due between two calls of `checkAndPulse`. */
   private pulseTimer: Subscription | undefined;
 
   private readonly openedAt: number;
@@ -75,7 +78,7 @@
     this.endReports = RunEndReports.create(opts.timer, opts.link);
   }
 
-  /** Begins to confirm that the entry is awake. */
+  /** Opens the link and sends the first pulse. */
   static open(opts: EntryLinkOptions): EntryLink {
     const owner = new EntryLink(opts);
     owner.sendPulse();
@@ -86,12 +89,12 @@
     return this.opts.link;
   }
 
-  /** The entry's run of its process. */
+  /** The entry's process incarnation. */
   get incarnation(): string {
     return this.opts.link.peer.incarnation;
   }
 
-  /** Whether the entry's orders may be carried out now. */
+  /** Whether start requests of the entry may be executed now. */
   get isConfirmed(): boolean {
     const { confirmedAt } = this;
     if (this.isClosed || confirmedAt === undefined || confirmedAt < this.ignoreEchoesBefore)
@@ -100,8 +103,9 @@
   }
 
   /**
-   * This process may have been suspended: nothing is started for the entry before a new confirmation. How long it has
-   * been silent is not counted anew, since callers may be about to turn to others all the same.
+   * This process may have been suspended: nothing is started for the entry before it is confirmed alive again.
+   * The time that it has been unresponsive is not reset, since its callers may be about to turn to other
+   * entries all the same.
    */
   requireConfirmation(): void {
     this.ignoreEchoesBefore = this.opts.timer.now();
@@ -110,8 +114,8 @@
   }
 
   /**
-   * Asks whether the entry is awake, and stops its runs when the last answer is too old. To be called
-   * at the interval of pulses. One that went along with something else a short time ago serves as well.
+   * Sends a pulse and stops the entry's runs when its last answer is too old. Call it once per pulse interval.
+   * A pulse that was piggybacked a short time ago replaces this one.
    */
   checkAndPulse(): void {
     this.stopIfSilent();
@@ -124,7 +128,7 @@
     this.scheduleSilenceCheck();
   }
 
-  /** Something is being sent to the entry: a pulse in the same frame spares one by itself. */
+  /** Another message is being sent to the entry: a pulse in the same frame saves a separate one. */
   private piggybackPulse(): void {
     if (this.opts.timer.now() - this.pulsedAt < MIN_PIGGYBACK_INTERVAL_MS) return;
     this.sendPulse();
@@ -137,18 +141,18 @@
     this.pulseTimer = timer.after(dueAt - timer.now(), () => this.sendPulse());
   }
 
-  /** How long the entry has not been confirmed to be awake, ms; infinite once the link has ended. */
+  /** Time since the entry was last known to be alive, ms; infinite once the link has ended. */
   get silentMs(): number {
     if (this.isClosed) return Infinity;
     return this.opts.timer.now() - (this.confirmedAt ?? this.openedAt);
   }
 
-  /** Time for the entry to answer since this process was held up, ms. */
+  /** Time that the entry has had to answer since this process was paused, ms. */
   private get sincePauseMs(): number {
     return this.opts.timer.now() - this.ignoreEchoesBefore;
   }
 
-  /** The proof may grow too old between two pulses: that is seen when it does. */
+  /** The proof may expire between two pulses; the timer notices that in time. */
   private scheduleSilenceCheck(): void {
     const leftMs = pulseTimings.ownerSilenceMs - this.silentMs;
     if (leftMs <= 0 || leftMs >= pulseTimings.intervalMs) return;
@@ -159,21 +163,21 @@
     const { backend, link, log } = this.opts;
     const { silentMs } = this;
     if (silentMs < pulseTimings.ownerSilenceMs) return;
-    log.warn('an entry is silent: its runs are stopped', {
+    log.warn('an entry is unresponsive: its runs are stopped', {
       entry: link.peer.instance,
       silentMs: Math.round(silentMs),
     });
     backend.stop(this, 'entry_silent');
   }
 
-  /** Takes the entry's pulse. */
+  /** Handles a pulse of the entry. */
   handlePulse({ sentMs, echoMs }: Pulse): void {
     this.entryClockMs = Math.max(this.entryClockMs, sentMs);
     if (echoMs <= 0 || echoMs < this.ignoreEchoesBefore) return;
     this.confirmedAt = Math.max(this.confirmedAt ?? 0, echoMs);
   }
 
-  /** Has orders carried out, or refused. */
+  /** Executes or refuses the start requests of a message. */
   start(orders: StartRuns): void {
     const { batch, service, spec, runs } = orders;
     runs.forEach((order) => {
@@ -205,13 +209,13 @@
     });
   }
 
-  /** Stops runs that the entry no longer wants. */
+  /** Stops runs that the entry no longer needs. */
   stop({ numbers }: StopRuns): void {
     const wanted = new Set(numbers);
     this.opts.backend.stop(this, 'asked', ({ number }) => wanted.has(number));
   }
 
-  /** Tells the entry of ends that have waited: it is about to reckon with its room here. */
+  /** Sends the ends that were delayed: the entry is about to calculate with its capacity here. */
   flushEnds(): void {
     this.endReports.flush();
   }
@@ -221,7 +225,7 @@
     this.opts.link.send({ case: 'cleared', value: create(ClearedSchema) });
   }
 
-  /** The link has ended: everything that the entry ordered over it is stopped. */
+  /** The link has ended: all runs that were requested over it are stopped. */
   close(): void {
     this.isClosed = true;
     this.silenceTimer?.cancel();
@@ -243,8 +247,8 @@
   }
 
   /**
-   * A step is over with its last task, so the end of one whose companions still run here opens nothing. It is told with
-   * the next, unless its room is needed.
+   * A step ends with its last task, so an end unblocks nothing while other tasks of the step run here. It is
+   * sent with the next end, unless its capacity is needed.
    */
   private isDelayable({ batch, step }: Task, outcome: RunOutcome): boolean {
     const { backend, isCapacityScarce } = this.opts;
@@ -286,12 +290,12 @@
   }
 }
 
-/** What an order is for. */
+/** The task of a start request. */
 interface Task {
   readonly batch: string;
   readonly step: number;
   readonly index: number;
 }
 
-/** The shortest time between a pulse and one that goes along with something else, ms: two serve no better. */
+/** Minimum time between a pulse and a piggybacked one, ms: sending both would be redundant. */
 const MIN_PIGGYBACK_INTERVAL_MS = 250;
--- a/src/runs/IgnoredHeartbeats.ts
+++ b/src/runs/IgnoredHeartbeats.ts
@@ -2,18 +2,18 @@
 import type EventLog from '../observe/EventLog';
 
 /**
- * Why a heartbeat changed nothing. `late`: its life has ended. `foreign`: it tells of another service or address than
- * the life under its id has. `unreadable`: it is none.
+ * Why a heartbeat was ignored. `late`: its incarnation has ended. `foreign`: its service or address differs
+ * from that of the incarnation under its id. `unreadable`: it could not be parsed.
  */
 type Cause = 'late' | 'foreign' | 'unreadable';
 
-/** What the line tells of a heartbeat. */
+/** What is logged of a heartbeat. */
 interface Sender {
   readonly id: string;
   readonly born?: number;
 }
 
-/** Counts heartbeats that changed nothing, by cause. Any writer may send them, so lines are bounded. */
+/** Counts ignored heartbeats, by cause. Anybody can send them, so log lines are rate-limited. */
 export default class IgnoredHeartbeats {
   private readonly counts = new Map<Cause, number>();
 
@@ -24,17 +24,17 @@
     private readonly log: EventLog,
   ) {}
 
-  /** Creates one that has counted none. */
+  /** Creates counters at zero. */
   static create(timer: TimerService, log: EventLog): IgnoredHeartbeats {
     return new IgnoredHeartbeats(timer, log);
   }
 
-  /** Heartbeats so far, by cause. */
+  /** Ignored heartbeats so far, by cause. */
   get byCause(): ReadonlyMap<string, number> {
     return this.counts;
   }
 
-  /** A heartbeat was passed over. */
+  /** Counts an ignored heartbeat, and logs it unless the cause was logged a short time ago. */
   record(cause: Cause, { id, born }: Sender, reason?: string): void {
     const count = (this.counts.get(cause) ?? 0) + 1;
     this.counts.set(cause, count);
@@ -42,12 +42,12 @@
     if (now - (this.loggedAt.get(cause) ?? -Infinity) < LOG_INTERVAL_MS) return;
     this.loggedAt.set(cause, now);
     const backend = id.slice(0, MAX_LOGGED_ID_CHARS);
-    this.log.warn('a heartbeat is passed over', { backend, born, cause, reason, count });
+    this.log.warn('a heartbeat is ignored', { backend, born, cause, reason, count });
   }
 }
 
-/** Heartbeats passed over for the same cause make one line in this time, ms. */
+/** Minimum time between log lines of the same cause, ms. */
 const LOG_INTERVAL_MS = 1_000;
 
-/** Most characters of an id in a line. */
+/** Longest prefix of an id that is logged, characters. */
 const MAX_LOGGED_ID_CHARS = 100;
--- a/src/runs/InDoubtRun.ts
+++ b/src/runs/InDoubtRun.ts
@@ -1,12 +1,12 @@
 import type { CrashRole } from '../gen/magnoliakeel/v1/peer_pb';
 import type RunState from './RunState';
 
-/** A run whose life has ended while an order of it may still be carried out by the next. */
+/** A run whose incarnation has ended while a start of it may still be executed by the next. */
 export default interface InDoubtRun {
   readonly state: RunState;
-  /** Where the life took calls. */
+  /** The address of the incarnation that ended. */
   readonly address: string;
-  /** How the life ended, for its owner. */
+  /** How the incarnation ended, for the run's owner. */
   readonly reason: string;
   readonly crash: CrashRole | undefined;
 }
--- a/src/runs/InDoubtRuns.ts
+++ b/src/runs/InDoubtRuns.ts
@@ -8,22 +8,23 @@
 interface InDoubtRunsOptions {
   readonly timer: TimerService;
   readonly log: EventLog;
-  /** Told when some are over because their lease has passed. */
+  /** Called when runs have ended because their time limit has passed. */
   readonly onChange: () => void;
 }
 
 /**
- * Runs of ended lives of a backend server that the next life may still start: an order without an answer may be
- * carried out later, and names the same id. Their owners hear that they are over once the next life has been given a
- * higher fencing token and runs nothing, which its clearing shows. If none comes, that is after as long as an order may
- * be late: their lease bounds nothing, since the next life reckons it by a clock of its own.
+ * Runs of ended incarnations that the next one may still start: a start without an answer may be executed
+ * later, and it names the same id. Their owners are notified of the end once the next incarnation has received
+ * a higher fencing token and runs nothing, which it shows when leftovers have been stopped there. Without a
+ * next incarnation they end after the longest time by which a start can be late. Their lease gives no bound,
+ * since the next incarnation measures it by a clock of its own.
  */
 export default class InDoubtRuns {
   private readonly runs = new Set<InDoubtRun>();
 
   private constructor(private readonly opts: InDoubtRunsOptions) {}
 
-  /** Creates one without any run. */
+  /** Creates an empty set of runs. */
   static create(opts: InDoubtRunsOptions): InDoubtRuns {
     return new InDoubtRuns(opts);
   }
@@ -32,16 +33,16 @@
     return this.runs.size;
   }
 
-  /** Whether one of them is the owner's. */
+  /** Whether any of them belongs to the owner. */
   hasRunsOf(owner: object): boolean {
     return [...this.runs].some(({ state }) => state.request.owner === owner);
   }
 
-  /** Takes those of a life that has just ended. */
+  /** Adds those of an incarnation that has just ended. */
   add({ inDoubt, resolvedInMs }: IncarnationOutcome): void {
     if (inDoubt.length === 0) return;
     const { timer, log, onChange } = this.opts;
-    log.info('orders of an ended life may still be carried out by the next', {
+    log.info('starts of an ended incarnation may still be executed by the next', {
       runs: inDoubt.length,
       settledInMs: Math.round(resolvedInMs),
     });
@@ -49,13 +50,13 @@
     timer.after(resolvedInMs, () => {
       const remaining = inDoubt.filter((run) => this.runs.has(run));
       if (remaining.length === 0) return;
-      log.info('no next life was cleared in time', { runs: remaining.length });
+      log.info('no next incarnation was cleared in time', { runs: remaining.length });
       remaining.forEach((run) => this.finish(run));
       onChange();
     });
   }
 
-  /** The next life at the address has been given a higher fencing token, and nothing runs there. */
+  /** The next incarnation at the address has received a higher fencing token, and nothing runs there. */
   resolve(address: string): void {
     this.runs.forEach((run) => {
       if (run.address === address) this.finish(run);
--- a/src/runs/IncarnationClient.ts
+++ b/src/runs/IncarnationClient.ts
@@ -9,18 +9,19 @@
 import taskKey from './taskKey';
 
 /**
- * The calls to one life of a backend server. Its address and id may be the next life's too, so an answer that says
- * when the answering life started is held against this one's start, and it is remembered which starts the next life
- * may still carry out. Of a life that doesn't tell when it started nothing is remembered: its id is its own.
+ * Client of one incarnation of a backend server. The next incarnation may have the same address and id, so the
+ * start time in an answer is compared with that of this incarnation, and starts that the next one may still
+ * execute are remembered. For an incarnation that does not report its start time nothing is remembered: its id
+ * is unique.
  */
 export default class IncarnationClient implements BackendRunClient {
-  /** By task, starts that were sent and have had no answer. */
+  /** Sent starts without an answer, counted by task. */
   private readonly unansweredStarts = new Map<string, number>();
 
-  /** What this life has listed last. */
+  /** The runs that this incarnation listed last. */
   private lastListed: BackendPollResult['running'] = [];
 
-  /** Whether this life was there when a call was made: what answers one later was there after it. */
+  /** Whether this incarnation has answered: another one that answers after that came later. */
   private hasAnswered = false;
 
   private answeringBorn: number | undefined;
@@ -30,12 +31,15 @@
     private readonly born: number | undefined,
   ) {}
 
-  /** Wraps the calls to the life that started then, ms since 1970, if it tells. */
+  /** Wraps the client of the incarnation that started at `born`, ms since 1970, if it reports that. */
   static of(backend: BackendRunClient, born: number | undefined): IncarnationClient {
     return new IncarnationClient(backend, born);
   }
 
-  /** When the life started that has answered in place of this one, as it tells; its clock may have been set back. */
+  /**
+   * Reported start time of the incarnation that has answered in place of this one; its wall clock may have been
+   * set back.
+   */
   get successorBorn(): number | undefined {
     return this.answeringBorn;
   }
@@ -79,10 +83,10 @@
   }
 
   /**
-   * Whether a run of this life may go on after its end, or the next life may start it, or has done so. Nothing
-   * ends those of a life that is given up here but their lease. While nothing listens, that is so for orders
-   * without an answer. When the next life is there, it may also have given the answer, so only a run that this life
-   * has listed is known to have been here.
+   * Whether a run of this incarnation may go on after its end, or may be started by the next incarnation, or
+   * was. When the incarnation is given up here, only the lease ends its runs. While nothing listens, only
+   * unanswered starts are in doubt. Once the next incarnation is there, it may have given any answer, so only a
+   * run that this one has listed is known to have been here.
    */
   mayOutlive({ run }: RunState, how: IncarnationEnd): boolean {
     if (how === 'abandoned' || how === 'displaced') return true;
@@ -126,5 +130,5 @@
   reason: 'an earlier life has answered',
 };
 
-/** Tasks whose starts without an answer are remembered: far more than run at once, since some stay for good. */
+/** Tasks whose unanswered starts are remembered: far more than run at once, since some stay for good. */
 const MAX_REMEMBERED_TASKS = 1_000;
--- a/src/runs/IncarnationOutcome.ts
+++ b/src/runs/IncarnationOutcome.ts
@@ -1,16 +1,16 @@
 import type InDoubtRun from './InDoubtRun';
 
-/** What is left of a life of a backend server that has ended. */
+/** What is known of an incarnation of a backend server that has ended. */
 export default interface IncarnationOutcome {
   readonly isCrash: boolean;
-  /** Whether the life may still be there, and was only given up here. */
+  /** Whether the incarnation may still be there, and was only given up here. */
   readonly isAbandoned: boolean;
-  /** When the life that has answered in its place started, as that tells; undefined when none has. */
+  /** Reported start time of the incarnation that has answered in its place; undefined when none has. */
   readonly successorBorn: number | undefined;
-  /** The highest fencing token that was sent there. */
+  /** The highest fencing token that was sent to it. */
   readonly token: number;
-  /** Runs that a later life at the same address may still start. */
+  /** Runs that a later incarnation at the same address may still start. */
   readonly inDoubt: readonly InDoubtRun[];
-  /** Until these are over also if no next life is cleared, ms. */
+  /** Time after which these have ended even if no next incarnation is cleared, ms. */
   readonly resolvedInMs: number;
 }
--- a/src/runs/LiveEntryReports.ts
+++ b/src/runs/LiveEntryReports.ts
@@ -3,21 +3,21 @@
 import type EntryLink from './EntryLink';
 
 /**
- * Tells each linked entry which others are awake, of those that claim batches. An entry that has lost its link to
- * another learns by it whether that is gone, or goes on beside it.
+ * Reports to each linked entry which others are alive, of those that claim batches. An entry that has lost its
+ * link to another learns from it whether that entry is gone or still running.
  */
 export default class LiveEntryReports {
-  /** What each entry was told last. */
+  /** The report last sent to each entry. */
   private readonly sentReports = new Map<EntryLink, string>();
 
   private constructor(private readonly entryLinks: ReadonlySet<EntryLink>) {}
 
-  /** Creates one that has told nobody. */
+  /** Creates reports of which none was sent. */
   static of(owners: ReadonlySet<EntryLink>): LiveEntryReports {
     return new LiveEntryReports(owners);
   }
 
-  /** To be called whenever an entry may have become confirmed or silent: tells what is news. */
+  /** Sends reports that have changed. Call it whenever an entry may have become confirmed or unresponsive. */
   sendChanges(): void {
     const alive = [...this.entryLinks].filter((each) => each.isConfirmed && each.link.peer.claims);
     const entries = new Map(alive.map(({ incarnation, link }) => [incarnation, link.peer]));
--- a/src/runs/LocalBackend.ts
+++ b/src/runs/LocalBackend.ts
@@ -18,17 +18,17 @@
 
 interface LocalBackendOptions {
   readonly timer: TimerService;
-  /** Makes the calls to the life of the backend server that sent the report. */
+  /** Creates the client of the incarnation that sent the heartbeat. */
   readonly connect: (report: BackendHeartbeat) => BackendRunClient;
   readonly log: EventLog;
-  /** Told when room, readiness or the backend server itself has changed. */
+  /** Called when free capacity, readiness or the backend server itself has changed. */
   readonly onChange: () => void;
 }
 
 /**
- * The backend server beside this process, whichever life of it is there now. A heartbeat of an
- * unknown life is checked by a call before it counts, because one that was held up may arrive after
- * its sender was replaced. A later life under the id of the one that is there ends that at once.
+ * The backend server next to this sidecar, in its current incarnation. A heartbeat of an unknown incarnation is
+ * verified by a call first, because a delayed one may arrive after its sender was replaced. A later incarnation
+ * under the same id ends the current one at once.
  */
 export default class LocalBackend {
   private incarnation: BackendIncarnation | undefined;
@@ -37,10 +37,10 @@
 
   private readonly inDoubt: InDoubtRuns;
 
-  /** Heartbeats that changed nothing. */
+  /** Counts heartbeats that were ignored. */
   readonly ignoredHeartbeats: IgnoredHeartbeats;
 
-  /** The newest life whose heartbeat is being checked. */
+  /** The latest incarnation whose heartbeat is being verified. */
   private candidate: BackendHeartbeat | undefined;
 
   private crashedAt = -Infinity;
@@ -55,44 +55,44 @@
     this.ignoredHeartbeats = IgnoredHeartbeats.create(timer, log);
   }
 
-  /** Creates a host without a backend server. */
+  /** Creates it without a current incarnation. */
   static create(opts: LocalBackendOptions): LocalBackend {
     return new LocalBackend(opts);
   }
 
-  /** The life that is there now. */
+  /** The current incarnation. */
   get current(): BackendIncarnation | undefined {
     return this.incarnation;
   }
 
-  /** Whether tasks are taken now. */
+  /** Whether tasks are accepted now. */
   get isAccepting(): boolean {
     return this.incarnation?.isAccepting === true;
   }
 
-  /** Whether nothing that an earlier process or link started can run any more. */
+  /** Whether nothing that an earlier process or link started can still run. */
   get isCleared(): boolean {
     return this.incarnation?.isCleared === true;
   }
 
-  /** Runs that are not certainly over. */
+  /** Runs that are not known to have ended. */
   get size(): number {
     return (this.incarnation?.size ?? 0) + this.inDoubt.size;
   }
 
-  /** Runs of ended lives that a next one may still start. */
+  /** Runs of ended incarnations that the next one may still start. */
   get inDoubtCount(): number {
     return this.inDoubt.size;
   }
 
-  /** Takes a heartbeat. */
+  /** Handles a heartbeat. */
   handleHeartbeat(report: BackendHeartbeat): void {
     const { incarnation } = this;
     const relation = incarnation ? compareIncarnations(report, incarnation.heartbeat) : 'other';
     if (relation === 'earlier') this.ignoredHeartbeats.record('late', report);
     else if (relation === 'same') this.updateCurrent(report);
     else {
-      // Another writer's word is checked before it ends anything.
+      // A heartbeat from a different sender is verified before it ends anything.
       const endsCurrent = relation === 'later' && !this.endedIncarnations.has(report);
       if (endsCurrent && !isForeign(report, incarnation!.heartbeat)) {
         incarnation!.end('it has started again under its id', 'reborn');
@@ -101,7 +101,7 @@
     }
   }
 
-  /** The backend server, or the life of it that started then, says that it ends now. */
+  /** The backend server, or its incarnation with this start time, announces that it shuts down now. */
   handleLeaving(id: string, born?: number): void {
     if (
       this.incarnation &&
@@ -116,7 +116,7 @@
     else this.incarnation.start(request);
   }
 
-  /** Stops the runs of an owner, or those of them for which the predicate holds. */
+  /** Stops the owner's runs, or those that match. */
   stop(
     owner: object,
     cause: StopCause,
@@ -125,7 +125,7 @@
     this.incarnation?.stop(owner, cause, matches);
   }
 
-  /** Whether runs of the owner are not certainly over. */
+  /** Whether the owner has runs that are not known to have ended. */
   hasRunsOf(owner: object): boolean {
     return this.incarnation?.hasRunsOf(owner) === true || this.inDoubt.hasRunsOf(owner);
   }
@@ -135,24 +135,27 @@
     return this.incarnation?.hasRunsOfStep(batch, step) === true;
   }
 
-  /** What the owner's runs take, those that are being stopped included. */
+  /** The capacity that the owner's runs occupy, including those being stopped. */
   allocatedTo(owner: object): Resources {
     return this.incarnation?.allocatedTo(owner) ?? Resources.none;
   }
 
-  /** Takes no more tasks; what runs goes on. */
+  /** Accepts no more tasks; active runs go on. */
   stopAccepting(): void {
     this.isShuttingDown = true;
     this.opts.onChange();
   }
 
-  /** Whether operators have drained the availability zone: no tasks are taken then; what runs goes on. */
+  /**
+   * Sets whether operators have drained the availability zone: then no tasks are accepted, and active runs go
+   * on.
+   */
   setZoneDrained(isDrained: boolean): void {
     this.isZoneDrained = isDrained;
     this.opts.onChange();
   }
 
-  /** Why nothing is started now whatever the backend server says, if so. */
+  /** Why nothing may be started now for reasons outside the backend server, if so. */
   private get startBlocker(): string | undefined {
     if (this.isShuttingDown) return 'this sidecar is leaving';
     return this.isZoneDrained ? 'the availability zone is drained' : undefined;
@@ -173,7 +176,7 @@
     }
     if (candidate && isSameOrEarlier(report, candidate)) return;
     this.verify(report).catch((error: unknown) =>
-      this.opts.log.warn('a heartbeat could not be checked', { backend: report.id, error }),
+      this.opts.log.warn('a heartbeat could not be verified', { backend: report.id, error }),
     );
   }
 
@@ -185,12 +188,16 @@
     const kind = await this.probe(backend);
     if (this.candidate === report) this.candidate = undefined;
     if (kind === 'replaced' || kind === 'reborn') {
-      log.info('a heartbeat of an ended backend server came late', { backend: id, born, kind });
+      log.info('a late heartbeat of an ended backend server was ignored', {
+        backend: id,
+        born,
+        kind,
+      });
       this.endedIncarnations.add(report);
       return;
     }
     if (kind === 'unanswered' || kind === 'closed') {
-      log.warn('a new backend server does not answer; its next heartbeat is awaited', {
+      log.warn('a new backend server does not answer; waiting for its next heartbeat', {
         backend: id,
         born,
         kind,
@@ -200,13 +207,16 @@
     if (!this.isSuperseded(report)) this.replaceIncarnation(report, backend);
   }
 
-  /** Whether a later life under the same id has announced itself while this one was checked. */
+  /** Whether a later incarnation under the same id has announced itself while this one was verified. */
   private isSuperseded(report: BackendHeartbeat): boolean {
     const newer = [this.candidate, this.incarnation?.heartbeat];
     return newer.some((other) => other && isSameOrEarlier(report, other));
   }
 
-  /** How a look at a backend server fails, if it does. A single answer may be lost, so it is asked again. */
+  /**
+   * Calls a backend server and returns how that fails, if it does. A single answer may be lost, so the call is
+   * retried.
+   */
   private async probe(backend: BackendRunClient): Promise<BackendRunFailure['kind'] | undefined> {
     const times = AnswerTimeouts.create();
     for (let tries = 1; ; tries += 1) {
@@ -260,25 +270,28 @@
   }
 }
 
-/** Whether a life, or a later one under its id, is the one given. */
+/** Whether a heartbeat comes from the known incarnation, or from an earlier one under the same id. */
 function isSameOrEarlier(report: BackendHeartbeat, known: BackendHeartbeat): boolean {
   const relation = compareIncarnations(report, known);
   return relation === 'same' || relation === 'earlier';
 }
 
-/** How a life has ended when another has answered. */
+/** How an incarnation has ended when another has answered. */
 function endKindOf(report: BackendHeartbeat, before: BackendHeartbeat): IncarnationEnd {
   if (report.id === before.id) return 'reborn';
   return report.address === before.address ? 'replaced' : 'displaced';
 }
 
-/** Whether a heartbeat tells what cannot change in a life: another writer has put it together. */
+/**
+ * Whether a heartbeat differs in fields that cannot change within an incarnation: it comes from a different
+ * sender.
+ */
 function isForeign(report: BackendHeartbeat, known: BackendHeartbeat): boolean {
   return report.service !== known.service || report.address !== known.address;
 }
 
-/** Looks at a backend server that announces itself, before its next heartbeat is awaited. */
+/** Calls to a backend server that has announced itself, before its next heartbeat is awaited. */
 const MAX_PROBES = 3;
 
-/** After a crash, for how long the next one is taken for the backend server's own fault, ms. */
+/** Time after a crash in which the next crash is attributed to the backend server itself, ms. */
 const RECENT_CRASH_MS = 10_000;
--- a/src/runs/RunCommands.ts
+++ b/src/runs/RunCommands.ts
@@ -25,27 +25,27 @@
   readonly activeRuns: ActiveRuns;
   readonly timeouts: AnswerTimeouts;
   readonly log: EventLog;
-  /** Told that a look is wanted soon: something was started or stopped. */
+  /** Called when something was started or stopped, so that a poll is due. */
   readonly pollSoon: () => void;
-  /** Told of an error that nothing here handles. */
+  /** Called with an unexpected error. */
   readonly onError: (error: unknown) => void;
 }
 
 /**
- * Sends starts and stops to a backend server, each by a task of its own, until it is known what became
- * of them. A start without an answer may be carried out later, so it is stopped before it counts as over.
+ * Sends starts and stops to a backend server and retries them until their outcome is known. A start without an
+ * answer may be executed later, so the run is stopped before it counts as ended.
  */
 export default class RunCommands {
   private readonly attempts = AttemptNumbers.create();
 
   private constructor(private readonly opts: RunCommandsOptions) {}
 
-  /** Creates the orders to one life of a backend server. */
+  /** Creates the commands to one incarnation of a backend server. */
   static create(opts: RunCommandsOptions): RunCommands {
     return new RunCommands(opts);
   }
 
-  /** Takes room for a run and sends its start. */
+  /** Allocates capacity for a run and sends its start. */
   start(request: RunRequest): void {
     const { activeRuns, pollSoon, onError, timer } = this.opts;
     const { batch, step, index } = request;
@@ -65,20 +65,20 @@
     this.sendStart(state).catch(onError);
   }
 
-  /** Stops a run; it is over once a look proves that. */
+  /** Stops a run; it has ended once a poll verifies that. */
   stop(state: RunState, cause: StopCause): void {
     if (state.stop) return;
     state.stop = { cause, requestedAt: this.opts.timer.now() };
     this.sendStop(state).catch(this.opts.onError);
   }
 
-  /** Something runs there that is not held; whatever started it, it must end. */
+  /** Stops a listed run that is not active here, whatever started it. */
   stopUnknown(run: RunId): void {
     const { log, backend, lease, timeouts } = this.opts;
     log.warn('an unknown run is stopped', { ...run });
     backend.stop(run, lease.token, timeouts.timeoutMs()).match(
       () => undefined,
-      // It is seen again with the next look, and stopped again.
+      // The next poll lists it again, and it is stopped again.
       () => undefined,
     );
   }
@@ -88,7 +88,7 @@
     let state = first;
     let mayBeExecutedLater = false;
     for (let tries = 0; tries < runLimits.maxStartTries; tries += 1) {
-      // It may have been stopped, or its life have ended, while this waited to send it again.
+      // The run may have been stopped, or the incarnation have ended, during the delay before the retry.
       if (!activeRuns.includes(state) || state.stop) return;
       const { run, request } = state;
       if (!request.owner.isConfirmed) break;
@@ -119,11 +119,11 @@
         return;
       }
       log.warn('the backend server refused a start', { ...logFields(state), answer });
-      // The stop under way will show how it ends: an earlier start may have been carried out.
+      // The stop in progress will show how the run ends: an earlier start may have been executed.
       if (state.stop) return;
       if (tries > 0 && answer === 'spent') break;
       if (!retryableRefusals[answer]) {
-        // An earlier start may still be on its way, so this refusal does not prove that none will run.
+        // An earlier start may still be in flight, so this refusal does not prove that none will be executed.
         if (mayBeExecutedLater) break;
         activeRuns.finish(state, RunOutcome.REFUSED, answer);
         return;
@@ -135,7 +135,7 @@
     this.stop(state, state.request.owner.isConfirmed ? 'unanswered' : 'entry_silent');
   }
 
-  /** Waits for an answer as long as answers take; that to a first try tells how long they do. */
+  /** Makes a call with the current timeout; only the answer to a first try gives a timing sample. */
   private async callWithTimeout<Answer>(
     triesBefore: number,
     call: (timeoutMs: number) => ResultAsync<Answer, BackendRunFailure>,
@@ -147,7 +147,7 @@
     return res;
   }
 
-  /** The same start with the next attempt number. */
+  /** Returns the same run with the next attempt number. */
   private withNextAttempt(state: RunState): RunState {
     const { request, run } = state;
     const attempt = this.attempts.allocate(taskKey(request), request.attempt);
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Waits before a call is made again. One that was not answered in its time has waited already; one whose
-   * connection broke has not, and would be made again and again, each time over a new connection.
+   * Waits before a call is retried. One that timed out has waited already; one whose connection broke has not,
+   * and would be retried in a tight loop, each time over a new connection.
    */
   private async delayRetry({ kind }: BackendRunFailure, sentAt: number): Promise<void> {
     const { timer } = this.opts;
@@ -185,15 +185,15 @@
   }
 }
 
-/** A call that failed sooner was not given the time for its answer, ms. */
+/** A call that failed sooner than this did not wait for its answer, ms. */
 const MIN_ANSWER_WAIT_MS = 15;
 
-/** Whether a call that failed has certainly done nothing, and will not. */
+/** Whether a failed call is known not to have been executed, now or later. */
 function isKnownNotExecuted({ kind }: BackendRunFailure): boolean {
   return kind === 'closed' || kind === 'replaced';
 }
 
-/** Refusals that a second start, with a new number, token or lease, may not meet. */
+/** Refusals that may not recur for a second start with a new number, token or lease. */
 const retryableRefusals: Readonly<Record<BackendRefusal, boolean>> = {
   fenced: true,
   spent: true,
--- a/src/runs/RunEndReports.ts
+++ b/src/runs/RunEndReports.ts
@@ -3,15 +3,15 @@
 import { type RunEnd, RunsEndedSchema } from '../gen/magnoliakeel/v1/peer_pb';
 import type Link from '../link/Link';
 
-/** An end that its owner has not been told. */
+/** An end that has not been sent to its owner. */
 interface DelayedEnd {
   readonly end: RunEnd;
   readonly endedAt: number;
 }
 
 /**
- * The ends of one entry's runs, on their way to it. An end that opens nothing at the entry may wait for the next one
- * or for a pulse: each message wakes the entry, which costs it more than reading a few ends together.
+ * Sends the ends of runs to one entry. An end that unblocks nothing at the entry may be delayed until the next
+ * end or pulse: each message wakes the entry, which costs it more than reading several ends together.
  */
 export default class RunEndReports {
   private delayed: DelayedEnd[] = [];
@@ -26,13 +26,13 @@
     return new RunEndReports(timer, link);
   }
 
-  /** Takes an end, and tells it at once, with those that have waited, unless it may wait. */
+  /** Adds an end. Unless it may wait, it is sent at once, along with the delayed ones. */
   add(end: RunEnd, mayWait: boolean): void {
     this.delayed.push({ end, endedAt: this.timer.now() });
     if (!mayWait) this.flush();
   }
 
-  /** Tells what has waited; to be called before anything that takes the owner to know of it. */
+  /** Sends the delayed ends. Call it before any message that assumes that the owner knows of them. */
   flush(): void {
     if (this.delayed.length === 0) return;
     const now = this.timer.now();
--- a/src/runs/RunId.ts
+++ b/src/runs/RunId.ts
@@ -1,4 +1,4 @@
-/** Names one run of one task at a backend server. */
+/** Identifies one run of one task at a backend server. */
 export default interface RunId {
   readonly batch: string;
   readonly step: number;
--- a/src/runs/RunOwner.ts
+++ b/src/runs/RunOwner.ts
@@ -1,7 +1,7 @@
-/** The entry whose orders are carried out, as its sidecar knows it. */
+/** The entry that requested a run, as its sidecar sees it. */
 export default interface RunOwner {
-  /** Whether it is known to be awake, so that its orders may be carried out. */
+  /** Whether it is confirmed alive, so that its start requests may be executed. */
   readonly isConfirmed: boolean;
-  /** How long it has not been confirmed to be awake, ms; infinite once its link has ended. */
+  /** Time since it was last confirmed alive, ms; infinite once its link has ended. */
   readonly silentMs: number;
 }
--- a/src/runs/RunRequest.ts
+++ b/src/runs/RunRequest.ts
@@ -3,7 +3,7 @@
 import type RunOwner from './RunOwner';
 import type StopRequest from './StopRequest';
 
-/** A task that an entry wants started. */
+/** A task that an entry wants to be started. */
 export default interface RunRequest {
   readonly batch: string;
   readonly step: number;
@@ -14,16 +14,19 @@
   readonly estimateMs: number;
   /** The lowest attempt number that may be used. */
   readonly attempt: number;
-  /** Most tasks of the step on the backend server at once; 0 for no limit. */
+  /** Maximum number of tasks of the step on the backend server at once; 0 for no limit. */
   readonly mostTogether: number;
   /** A label that the backend server must have; empty for none. */
   readonly label: string;
-  /** How often the task was the likeliest cause of a crash; those that were once are kept apart. */
+  /** How often the task was the likeliest cause of a crash; suspects are kept apart from each other. */
   readonly suspicion: number;
-  /** The sender's number of this order. */
+  /** The sender's number of this request. */
   readonly number: number;
-  /** Whose order it is; runs of an owner are stopped together. */
+  /** The entry that requested it; the runs of an owner are stopped together. */
   readonly owner: RunOwner;
-  /** Told once, when the run is certainly over or will certainly never start; with its stop, if one was asked for. */
+  /**
+   * Called once, when the run is known to have ended or will never start; with the stop request, if there was
+   * one.
+   */
   readonly onEnded: (end: RunEnd, stop?: StopRequest) => void;
 }
--- a/src/runs/RunSidecar.ts
+++ b/src/runs/RunSidecar.ts
@@ -26,23 +26,23 @@
 import LiveEntryReports from './LiveEntryReports';
 
 /**
- * The process beside a backend server that runs tasks under a lease. It links to every entry it
- * hears of, starts what they order as far as there is room, and reports each run's end.
+ * The process next to a backend server that runs tasks under a lease. It links to every entry that it knows of,
+ * starts the tasks that they request as far as there is free capacity, and reports the end of each run.
  */
 export default class RunSidecar {
   private readonly backend: LocalBackend;
 
-  /** Orders that are over, by outcome. */
+  /** Ended start requests, by outcome. */
   readonly outcomes = new Map<string, number>();
 
-  /** Runs that were stopped and are over, by cause. */
+  /** Runs that were stopped and have ended, by cause. */
   readonly stops = new Map<string, number>();
 
   private readonly entryLinks = new Set<EntryLink>();
 
   private readonly liveEntryReports = LiveEntryReports.of(this.entryLinks);
 
-  /** Owners whose links have ended, and whose runs may not all be over. */
+  /** Entries whose links have ended, but perhaps not all of their runs. */
   private readonly closingLinks = new Set<EntryLink>();
 
   private readonly unclearedLinks = new Set<EntryLink>();
@@ -116,60 +116,63 @@
     return sidecar;
   }
 
-  /** Entries linked now. */
+  /** The number of linked entries. */
   get linkCount(): number {
     return this.entryLinks.size;
   }
 
-  /** Runs that are not certainly over. */
+  /** The number of runs that are not known to have ended. */
   get runCount(): number {
     return this.backend.size;
   }
 
-  /** Whether the backend server takes tasks. */
+  /** Whether the backend server accepts tasks. */
   get isAccepting(): boolean {
     return this.backend.isAccepting;
   }
 
-  /** Times the estimates that work takes at the backend server while it is well; undefined while not known. */
+  /** Duration of work at the backend server divided by its estimate, while healthy; undefined while unknown. */
   get durationRatio(): number | undefined {
     return this.backend.current?.health.durations.ratio;
   }
 
-  /** Takes a heartbeat of the backend server. */
+  /** Handles a heartbeat of the backend server. */
   handleHeartbeat(report: BackendHeartbeat): void {
     this.backend.handleHeartbeat(report);
   }
 
-  /** The backend server, or the life of it that started then, says that it ends now. */
+  /** The backend server, or its incarnation with this start time, announces that it shuts down now. */
   handleBackendLeaving(id: string, born?: number): void {
     this.backend.handleLeaving(id, born);
   }
 
-  /** Heartbeats that changed nothing. */
+  /** Counts heartbeats that were ignored. */
   get ignoredHeartbeats(): IgnoredHeartbeats {
     return this.backend.ignoredHeartbeats;
   }
 
-  /** Runs of ended lives of the backend server that a next one may still start. */
+  /** Runs of ended incarnations of the backend server that the next one may still start. */
   get inDoubtCount(): number {
     return this.backend.inDoubtCount;
   }
 
-  /** Dials these entries too, besides those already known. */
+  /** Adds addresses of entries to dial. */
   learnEntries(addresses: readonly string[]): void {
     this.addresses.add(addresses);
   }
 
-  /** Takes no more tasks and resolves when none runs, or after the time; then all are stopped and links end. */
+  /**
+   * Accepts no more tasks and resolves when no run is active. After the grace period all runs are stopped and
+   * links are closed.
+   */
   async shutDown(graceMs: number): Promise<void> {
     const { timer, log } = this.opts;
     this.backend.stopAccepting();
-    log.info('leaving: no new tasks are taken', { running: this.backend.size, graceMs });
+    log.info('shutting down: no new tasks are accepted', { running: this.backend.size, graceMs });
     const deadline = timer.now() + graceMs;
     while (this.backend.size > 0 && timer.now() < deadline) await timer.sleep(SHUTDOWN_POLL_MS);
     if (this.backend.size > 0) {
-      log.warn('stopping what still runs', { running: this.backend.size });
+      log.warn('stopping the remaining runs', { running: this.backend.size });
       this.entryLinks.forEach((entryLink) => this.backend.stop(entryLink, 'leaving'));
       await timer.sleep(STOP_TIMEOUT_MS);
     }
@@ -235,25 +238,26 @@
     return true;
   }
 
-  /** Dials the entries chosen. A link over which something was ordered is kept, since its end stops that. */
+  /** Dials the selected entries. A link with start requests is kept, since closing it stops their runs. */
   private updateDials(): void {
     const inUse = [...this.entryLinks].filter(({ newestOrder }) => newestOrder > 0);
     const chosen = this.entrySelector.select(this.addresses.all);
     this.linkManager.setAddresses([...chosen, ...inUse.map(({ link }) => link.peer.address)]);
   }
 
-  /** No entry that this sidecar knows of answers: all of them may have been replaced. */
+  /** No known entry answers: all of them may have been replaced. */
   private lookUpEntries(): void {
     this.opts.findEntries().then(
       (addresses) => {
-        this.opts.log.info('no entry is linked; others were looked up', { addresses });
+        this.opts.log.info('no entry is linked; looked up the addresses of entries', { addresses });
         this.addresses.add(addresses);
       },
-      (error: unknown) => this.opts.log.warn('entries could not be looked up', { error }),
+      (error: unknown) =>
+        this.opts.log.warn('the addresses of entries could not be looked up', { error }),
     );
   }
 
-  /** Takes what an entry says of drained availability zones; the newest word of all entries counts. */
+  /** Applies an entry's message on drained availability zones; the newest revision from any entry counts. */
   private applyDrainedZones(word: DrainedZones, entry: string): void {
     const { zone, log } = this.opts;
     const wasDrained = this.drainedZones.current.has(zone);
@@ -279,7 +283,7 @@
     this.capacityReports.scheduleUpdate();
   }
 
-  /** Tells newly linked entries once nothing of their earlier links is left. */
+  /** Notifies newly linked entries once nothing of their earlier links is left. */
   private sendDueCleared(): void {
     this.closingLinks.forEach((entryLink) => {
       if (!this.backend.hasRunsOf(entryLink)) this.closingLinks.delete(entryLink);
@@ -294,10 +298,13 @@
   }
 
   private handlePause(gapMs: number): void {
-    this.opts.log.warn('this process was held up: entries are asked whether they are awake', {
-      gapMs,
-      running: this.backend.size,
-    });
+    this.opts.log.warn(
+      'this process was paused: entries have to confirm again that they are alive',
+      {
+        gapMs,
+        running: this.backend.size,
+      },
+    );
     this.entryLinks.forEach((entryLink) => entryLink.requireConfirmation());
   }
 
@@ -327,11 +334,11 @@
   };
 }
 
-/** How often entries are looked up while none is linked, ms. Each look is a call that is paid for. */
+/** How often the addresses of entries are looked up while none is linked, ms. Each lookup is a billed call. */
 const ENTRY_LOOKUP_INTERVAL_MS = 3_000;
 
-/** How often a leaving sidecar looks whether its runs are over, ms. */
+/** How often a sidecar that shuts down checks whether its runs have ended, ms. */
 const SHUTDOWN_POLL_MS = 20;
 
-/** Time for stops, and for links to end, when the time to leave is used up, ms. */
+/** Time for stops, and for links to close, after the grace period, ms. */
 const STOP_TIMEOUT_MS = 250;
--- a/src/runs/RunSidecarOptions.ts
+++ b/src/runs/RunSidecarOptions.ts
@@ -5,7 +5,7 @@
 import type BackendRunClient from './BackendRunClient';
 import type EventLog from '../observe/EventLog';
 
-/** What a sidecar for leased runs is made of. */
+/** The dependencies of a sidecar for leased runs. */
 export default interface RunSidecarOptions {
   readonly timer: TimerService;
   readonly random: Random;
@@ -13,13 +13,13 @@
   readonly log: EventLog;
   readonly cluster: string;
   readonly instance: string;
-  /** Unique for each run of the process. */
+  /** Unique for each start of the process. */
   readonly incarnation: string;
   readonly zone: string;
-  /** Addresses of entries to begin with. */
+  /** Initial addresses of entries. */
   readonly seeds: readonly string[];
-  /** Looks up where entries listen, for when no known one answers; empty when that is not known. */
+  /** Looks up the addresses of entries, for when no known one answers; empty when that is not known. */
   readonly findEntries: () => Promise<readonly string[]>;
-  /** Makes the calls to a life of the backend server. */
+  /** Creates the client of an incarnation of the backend server. */
   readonly connect: (report: BackendHeartbeat) => BackendRunClient;
 }
--- a/src/runs/StopRequest.ts
+++ b/src/runs/StopRequest.ts
@@ -1,8 +1,8 @@
 import type StopCause from './StopCause';
 
-/** A stop that was asked for. */
+/** A request to stop a run. */
 export default interface StopRequest {
   readonly cause: StopCause;
-  /** When, by the timer service. */
+  /** When it was made, by the timer service. */
   readonly requestedAt: number;
 }
--- a/src/runs/capacityOfferTimes.ts
+++ b/src/runs/capacityOfferTimes.ts
@@ -1,11 +1,13 @@
 /**
- * How long an offer of room holds, ms. It lapses at both ends by itself: the entry's part is over first, so that an
- * order on it arrives in time, and nobody has to take it back.
+ * How long an offer of free capacity is valid, ms. It expires at both ends without a message: first at the
+ * entry, so that a start request on it arrives in time.
  */
 const capacityOfferTimes = {
-  /** Kept by the sidecar: a round trip to another zone and a turn of a busy process. */
+  /**
+   * How long the sidecar reserves it: a round trip to another zone and an event-loop turn of a busy process.
+   */
   heldMs: 8,
-  /** Believed in by the entry after it has arrived. */
+  /** How long the entry may use it after it has arrived. */
   usableMs: 4,
 } as const;
 
--- a/src/runs/compareIncarnations.ts
+++ b/src/runs/compareIncarnations.ts
@@ -1,14 +1,14 @@
-/** What tells lives of backend servers apart. */
+/** What identifies an incarnation of a backend server. */
 interface Incarnation {
   readonly id: string;
-  /** When it started, ms since 1970, if it tells. */
+  /** When it started, ms since 1970, if it reports that. */
   readonly born?: number;
 }
 
 /**
- * How one life of a backend server stands to another: of another id, the same, or before or after it under the
- * same id. One that doesn't tell when it started is taken for the same: then an id is one life. The first that
- * tells comes after all that did not.
+ * How one incarnation of a backend server relates to another: of another id, the same, or earlier or later
+ * under the same id. One that does not report its start time counts as the same: then an id is one incarnation.
+ * The first that reports it comes after all that did not.
  */
 export default function compareIncarnations(
   one: Incarnation,
--- a/src/runs/crashRoleOf.ts
+++ b/src/runs/crashRoleOf.ts
@@ -2,11 +2,11 @@
 import type RunState from './RunState';
 
 /**
- * Which of the runs at a backend server that has crashed may have been the cause. It answers tasks that crash every
- * backend server that starts them: such a task has been under suspicion before, while what happened to run beside
- * it has not, or less. Suspects are kept apart, so after two crashes the cause is known and
- * nobody else is blamed. A backend server that crashes again and again is taken to be the cause itself. What was
- * ordered after the crash and has not been started there has no part in it.
+ * Which of the runs at a crashed backend server may have caused the crash. This is about tasks that crash every
+ * backend server that starts them: such a task was suspected before, while what happened to run beside it was
+ * not, or less often. Suspects are kept apart, so after two crashes the cause is known and no other task is
+ * blamed. If a backend server crashes repeatedly, it is presumed to be the cause itself. Runs that were
+ * requested after the crash and never started there have no role in it.
  */
 export default function crashRoleOf(
   runs: Iterable<RunState>,
--- a/src/runs/registerRunSidecarMetrics.ts
+++ b/src/runs/registerRunSidecarMetrics.ts
@@ -2,7 +2,7 @@
 import type Reading from '../observe/Reading';
 import type RunSidecar from './RunSidecar';
 
-/** Has the state of a sidecar for leased runs read whenever its metrics are shown. */
+/** Registers the metrics of a sidecar for leased runs, read whenever metrics are shown. */
 export default function registerRunSidecarMetrics(sidecar: RunSidecar, metrics: Metrics): void {
   metrics.read('runs_held', () => [{ value: sidecar.runCount }]);
   metrics.read('backend_accepting', () => [{ value: sidecar.isAccepting ? 1 : 0 }]);
--- a/src/runs/runLimits.ts
+++ b/src/runs/runLimits.ts
@@ -1,37 +1,41 @@
-/** Times and counts by which a sidecar deals with its backend server, in milliseconds unless said otherwise. */
+/** Timings and limits of a sidecar's calls to its backend server, in milliseconds unless said otherwise. */
 const runLimits = {
   /**
-   * How long everything runs on after the last renewal. The users' pages allow a second; less makes
-   * a lost backend server's tasks known to be over sooner, and still covers a sidecar that is held
-   * up for several hundred milliseconds.
+   * How long everything goes on running after the last renewal. The user documentation allows a second; with
+   * less, the tasks of a lost backend server are known to have ended sooner, and it still covers a sidecar that
+   * is paused for several hundred milliseconds.
    */
   leaseMs: 800,
-  /** How long a renewal waits for an end. Ends are told at once, so this only bounds silence. */
+  /** How long a poll waits for an end. Ends are reported at once, so this only bounds the silence. */
   pollWaitMs: 150,
-  /** How often to look for the end of a run that was stopped, when no end has come by itself. */
+  /** How often to poll for the end of a stopped run that has not been reported yet. */
   stopPollIntervalMs: 20,
-  /** Time to kill what runs once its lease is over; the users' pages give 50, and a timer may be late. */
+  /**
+   * Time to kill what runs once its lease has expired; the user documentation allows 50, and a timer may be
+   * late.
+   */
   killMs: 80,
-  /** Pause before a call is made again that failed at once. */
+  /** Delay before a call is retried that failed at once. */
   retryDelayMs: 30,
   /** Starts sent for one run, all with the same attempt number, before it is given up and stopped. */
   maxStartTries: 5,
-  /** Renewals in a row without an answer after which the backend server counts as silent... */
+  /** Unanswered polls in a row after which the backend server is silent... */
   silentAfterPolls: 2,
-  /** ...and time in which no call at all was answered: answers are lost one by one while it lives. */
+  /** ...provided that no call at all was answered for this time: single answers get lost while it lives. */
   silentAfterMs: 500,
-  /** How long a next life is awaited by runs that it may start: orders are carried out seconds late. */
+  /** How long in-doubt runs wait for the next incarnation: starts are executed seconds late. */
   nextIncarnationMs: 5_000,
-  /** How often a silent backend server is asked again. */
+  /** How often a silent backend server is polled. */
   silentPollIntervalMs: 200,
   /**
-   * How long an order waits for room before it is refused, so that two entries that chose the same
-   * room do not both start over. Longer, work would wait here while there is room elsewhere.
+   * How long a start request waits for free capacity before it is refused, so that two entries that chose the
+   * same capacity do not both start over. If it waited longer, work would wait here while there is capacity
+   * elsewhere.
    */
   capacityWaitMs: 5,
-  /** Orders that may wait so. */
+  /** Maximum number of start requests that wait so. */
   maxWaitingRequests: 8,
-  /** Attempt numbers that are remembered for tasks that are over; older ones are forgotten first. */
+  /** Attempt numbers to remember for tasks that have ended; the oldest are forgotten first. */
   maxRememberedAttempts: 20_000,
 } as const;
 
--- a/src/runs/taskKey.ts
+++ b/src/runs/taskKey.ts
@@ -1,4 +1,4 @@
-/** A short key for a task, for maps. */
+/** A short map key for a task. */
 export default function taskKey(task: { batch: string; step: number; index: number }): string {
   return `${task.batch}.${task.step}.${task.index}`;
 }
--- a/src/sharing/DecayingRate.ts
+++ b/src/sharing/DecayingRate.ts
@@ -1,4 +1,4 @@
-/** How much of something comes in a second, by what came lately: older amounts fade exponentially. */
+/** Rate of amounts per second, in which older amounts decay exponentially. */
 export default class DecayingRate {
   private sum = 0;
 
@@ -6,18 +6,18 @@
 
   private constructor(private readonly timeConstantMs: number) {}
 
-  /** Creates a rate of nothing, in which an amount fades to a third within the time, ms. */
+  /** Creates a rate of zero, in which an amount decays to a third within the time, ms. */
   static withTimeConstant(fadeMs: number): DecayingRate {
     return new DecayingRate(fadeMs);
   }
 
-  /** Takes note of an amount. */
+  /** Adds an amount. */
   add(amount: number, now: number): void {
     this.sum = this.decayedSum(now) + amount;
     this.updatedAt = now;
   }
 
-  /** The amount a second. */
+  /** The amount per second. */
   perSecond(now: number): number {
     return (this.decayedSum(now) / this.timeConstantMs) * SECOND_MS;
   }
--- a/src/sharing/PeerLoads.ts
+++ b/src/sharing/PeerLoads.ts
@@ -11,30 +11,30 @@
 interface AgedLoad {
   readonly load: Load;
   readonly ageMs: number;
-  /** How far it still counts, 0 to 1. */
+  /** Its weight by age, 0 to 1. */
   readonly weight: number;
 }
 
 /**
- * What other entries have told of their load. A report fades once the next one is overdue, and soon counts for
- * nothing: an entry that is cut off goes by its own line, and who is gone is not waited behind.
+ * The loads that other entries have reported. A report loses weight once the next one is overdue, and soon
+ * counts for nothing: an isolated entry goes by its own backlog, and nobody waits behind an entry that is gone.
  */
 export default class PeerLoads {
   private readonly reports = new Map<string, ReceivedReport>();
 
   private constructor(private readonly timer: TimerService) {}
 
-  /** Creates one that has heard nothing. */
+  /** Creates it without any report. */
   static create(timer: TimerService): PeerLoads {
     return new PeerLoads(timer);
   }
 
-  /** Takes the report of an entry in place of its last. */
+  /** Replaces the last report of an entry. */
   update(entry: string, report: LoadReport): void {
     this.reports.set(entry, { report, receivedAt: this.timer.now() });
   }
 
-  /** The loads of a service at other entries, as far as their reports still count. */
+  /** The loads of a service at other entries, with the weights of their reports. */
   forService(service: string): readonly AgedLoad[] {
     const now = this.timer.now();
     this.reports.forEach(({ receivedAt }, entry) => {
@@ -52,8 +52,8 @@
   return 2 ** -Math.max(0, (ageMs - FULL_WEIGHT_MS) / FULL_WEIGHT_MS);
 }
 
-/** Up to this age a report counts in full, and half after as long again, ms: two of its intervals. */
+/** Up to this age a report has full weight, and half of it after as long again, ms: two report intervals. */
 const FULL_WEIGHT_MS = 200;
 
-/** After this time a report is forgotten, ms: it counts for less than a thirtieth. */
+/** After this time a report is dropped, ms: it counts for less than a thirtieth. */
 const MAX_REPORT_AGE_MS = 6 * FULL_WEIGHT_MS;
--- a/src/sharing/combineLoads.ts
+++ b/src/sharing/combineLoads.ts
@@ -1,12 +1,12 @@
 import type Load from './Load';
 
-/** A load and how far it counts, 0 to 1. */
+/** A load and its weight, 0 to 1. */
 interface WeightedLoad {
   readonly load: Load;
   readonly weight: number;
 }
 
-/** The load of several entries together. */
+/** The weighted sum of the loads of several entries. */
 export default function combineLoads(loads: readonly WeightedLoad[]): Load {
   const levels = new Map<number, Load['levels'][number]>();
   loads.forEach(({ load, weight }) =>
--- a/src/sharing/leavesReserve.ts
+++ b/src/sharing/leavesReserve.ts
@@ -1,15 +1,16 @@
 import type Resources from '../room/Resources';
 
-/** What is free at a backend server, and all that it has. */
+/** The free and the total capacity of a backend server. */
 interface BackendCapacity {
   readonly free: Resources;
   readonly capacity: Resources;
 }
 
 /**
- * Whether enough is left free at a backend server when a task starts there. It answers bursts of long work under short
- * urgent work: what has started holds its room for long, and the urgent would wait for its end. Where a task and the
- * reserve are more than the backend server has at all, the task goes first: it would never start.
+ * Whether the reserve is left free at a backend server when a task starts there. The reserve is for bursts of
+ * long work at low urgency: long tasks that have started keep their capacity, and urgent short tasks would have
+ * to wait for their end. Where the task and the reserve together exceed the total capacity, the task goes
+ * first, as it would never start otherwise.
  */
 export default function leavesReserve(
   { free, capacity }: BackendCapacity,
--- a/src/sharing/predictQueueDelayMs.ts
+++ b/src/sharing/predictQueueDelayMs.ts
@@ -1,10 +1,11 @@
 import type Load from './Load';
 
 /**
- * How long a batch waits until it begins, ms: what of its level goes before it, over the rate at which tasks of its
- * level and of those behind start. That rate is the room that comes free without what more urgent levels take of it,
- * which they go on taking. Both are counted in cores to start with, not in work, since room comes free as
- * running tasks end. `before` is the share of its level's line that goes before it.
+ * Predicts how long a batch waits before it starts, ms: the part of its level's backlog that goes before it,
+ * divided by the rate at which tasks of its level and of less urgent ones start. That rate is the capacity that
+ * becomes free minus what more urgent levels use, and will go on using. Both are counted in cores to start
+ * with, not in work, since capacity becomes free as running tasks end. `before` is the share of its level's
+ * backlog that goes before it.
  */
 export default function predictQueueDelayMs(
   { levels }: Load,
--- a/test/placement/DurationRatioEstimator.test.ts
+++ b/test/placement/DurationRatioEstimator.test.ts
@@ -7,11 +7,11 @@
   readonly batches?: number;
   /** Share of tasks that take seven times as long as the others. */
   readonly tail?: number;
-  /** Estimates are off by up to this factor, either way, the same for all tasks of a batch. */
+  /** Estimates are off by up to this factor in either direction, the same for all tasks of a batch. */
   readonly error?: number;
 }
 
-/** The speed known after batches of four tasks of 100 ms, to two places. */
+/** The duration ratio after batches of four tasks of 100 ms, to two decimal places. */
 function learned({ times, batches = 48, tail = 0, error = 1 }: Work): number | undefined {
   const random = Random.fromSeed(1);
   const speed = DurationRatioEstimator.create();
@@ -25,11 +25,11 @@
   return speed.ratio === undefined ? undefined : Number(speed.ratio.toFixed(2));
 }
 
-test('a machine that takes longer is known by its runs', () => {
+test('the ratio of slow and fast machines is learned from their runs', () => {
   expect([learned({ times: 0.7 }), learned({ times: 1.7 })]).toEqual([0.71, 1.67]);
 });
 
-test('nothing is said after a few batches, and less than what was seen after some', () => {
+test('there is no ratio after a few batches, and one closer to 1 than measured after some', () => {
   expect([7, 8, 16, 48].map((batches) => learned({ times: 2, batches }))).toEqual([
     undefined,
     1.81,
@@ -42,18 +42,18 @@
   expect(learned({ times: 1, tail: 0.1 })).toBe(1);
 });
 
-test('estimates that are wrong by 40% leave the speed within the factor up to which machines are alike', () => {
+test('estimates that are wrong by 40% leave the ratio within the factor up to which machines are alike', () => {
   expect(learned({ times: 1, error: 1.4 })).toBeCloseTo(1, 1);
 });
 
-test('what was long ago counts no more', () => {
+test('old batches no longer count', () => {
   const speed = DurationRatioEstimator.create();
   for (let batch = 0; batch < 96; batch += 1)
     speed.addSample(`${batch}`, 100, batch < 48 ? 300 : 100);
   expect(speed.ratio).toBe(1);
 });
 
-test('tasks without an estimate say nothing', () => {
+test('tasks without an estimate are ignored', () => {
   const speed = DurationRatioEstimator.create();
   for (let batch = 0; batch < 20; batch += 1) speed.addSample(`${batch}`, 0, 100);
   expect(speed.ratio).toBeUndefined();
--- a/test/placement/FleetDurationRatios.test.ts
+++ b/test/placement/FleetDurationRatios.test.ts
@@ -3,7 +3,10 @@
 
 type Times = number | undefined;
 
-/** Speeds against the middle, in hundredths, of backend servers "b0", "b1" and so on; those alike are left out. */
+/**
+ * Duration ratios relative to the fleet's mean, in hundredths, of backend servers "b0", "b1" and so on, without
+ * those that are alike.
+ */
 function relative(
   told: readonly Times[],
   fleet = FleetDurationRatios.create(),
@@ -15,20 +18,20 @@
   );
 }
 
-test('two kinds of machines are told apart, however wrong the estimates are for all', () => {
+test('two kinds of machines are distinguished, however wrong the estimates are for all', () => {
   const fast = { b0: 74, b1: 74, b2: 181 };
   expect([relative([0.7, 0.7, 1.7]), relative([2.1, 2.1, 5.1])]).toEqual([fast, fast]);
 });
 
-test('machines of which none takes 1.4 times the middle count as alike', () => {
+test('machines of which none differs from the mean by a factor of 1.4 count as alike', () => {
   expect([relative([0.8, 1, 1.25, 1]), relative([0.8, 1, 1.35, 1])]).toEqual([{}, {}]);
 });
 
-test('one that is far off does not make the others seem fast', () => {
+test('an outlier does not make the others seem fast', () => {
   expect(relative([1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 4])).toEqual({ b11: 365 });
 });
 
-test('one of which nothing is told counts as working as estimated', () => {
+test('a backend server without a report counts as working as estimated', () => {
   expect(relative([undefined, undefined, undefined, 2])).toEqual({
     b0: 84,
     b1: 84,
@@ -37,11 +40,11 @@
   });
 });
 
-test('of two neither is unlike the others', () => {
+test('two backend servers never differ from each other', () => {
   expect(relative([0.7, 1.7])).toEqual({});
 });
 
-test('what was told of a backend server holds when its sidecar has started again', () => {
+test('a reported ratio is kept when the sidecar restarts', () => {
   const fleet = FleetDurationRatios.create();
   relative([0.7, 0.7, 1.7], fleet);
   expect(relative([0.7, 0.7, undefined], fleet)).toEqual({ b0: 74, b1: 74, b2: 181 });
--- a/test/placement/placementScore.test.ts
+++ b/test/placement/placementScore.test.ts
@@ -4,7 +4,9 @@
 const FAST = 0.75;
 const SLOW = 1.8;
 
-/** Which of two machines is better for a batch of one task, at once; "waited" is how late it already is, ms. */
+/**
+ * Which of two machines scores higher for a batch of one task; `waitedMs` is how long it has already waited.
+ */
 function better(estimateMs: number, isThrifty: boolean, waitedMs = 0): 'fast' | 'slow' {
   const aimAt = 1.6 * estimateMs + 60 - waitedMs;
   const scoreAt = (times: number): number =>
@@ -16,7 +18,7 @@
   return scoreAt(FAST) > scoreAt(SLOW) ? 'fast' : 'slow';
 }
 
-test('while there is room on fast machines everything goes there', () => {
+test('while fast machines have free capacity, every task goes there', () => {
   expect([better(73, false), better(243, false), better(1_086, false)]).toEqual([
     'fast',
     'fast',
@@ -24,7 +26,7 @@
   ]);
 });
 
-test('when it is short, what makes its aim on a slow machine leaves it to what does not', () => {
+test('when fast capacity is scarce, tasks that meet their target on a slow machine leave it to those that do not', () => {
   expect([better(73, true), better(243, true), better(1_086, true)]).toEqual([
     'slow',
     'slow',
@@ -32,10 +34,10 @@
   ]);
 });
 
-test('when it is short, what is late on any machine leaves it to what is not', () => {
+test('when fast capacity is scarce, tasks that are late on any machine leave it to those that are not', () => {
   expect(better(1_086, true, 2_000)).toBe('slow');
 });
 
-test('what would be of no use from a slow machine goes to a fast one, late as it is', () => {
+test('a task that would expire on a slow machine goes to a fast one, however late it is', () => {
   expect(better(1_086, true, 4_000)).toBe('fast');
 });
--- a/test/placement/quantizedRatio.test.ts
+++ b/test/placement/quantizedRatio.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import quantizedRatio from '../../src/placement/quantizedRatio';
 
-test('what is known changes what is told only by more than a tenth', () => {
+test('the reported ratio changes only when the measured one differs by more than a tenth', () => {
   const known = [undefined, 1.05, 0.9, 1.17, 1.1, 1.7, 1.6, 1.02, undefined];
   let told: number | undefined;
   const tellings = known.map((times) => {
--- a/test/runs/BackendHealth.test.ts
+++ b/test/runs/BackendHealth.test.ts
@@ -4,7 +4,7 @@
 import type RunState from '../../src/runs/RunState';
 import ManualTimer from '../support/ManualTimer';
 
-/** Ten runs of 300 ms each that get this much of their work done in each tenth of a second. */
+/** Samples ten runs of 300 ms each that complete this much of their work in each tenth of a second. */
 function watch(percentPerLook: number, looks: number): BackendHealth {
   const timer = ManualTimer.create();
   const health = BackendHealth.create(timer);
@@ -17,7 +17,7 @@
   return health;
 }
 
-/** Looks at a slow backend server until its runs have been moved away, and for this long after. */
+/** Samples a slow backend server until its runs have been moved away, then lets it stay idle for this long. */
 function leaveIdle(ms: number) {
   const timer = ManualTimer.create();
   const health = BackendHealth.create(timer);
@@ -58,23 +58,23 @@
   };
 }
 
-test('work that goes as estimated shows no slowness', () => {
+test('work that takes as long as estimated gives a slowness of 1', () => {
   expect(watch(33, 3).slowness).toBeCloseTo(1, 1);
 });
 
-test('a backend server that is eight times slower shows within three looks', () => {
+test('an eightfold slowdown shows within three polls', () => {
   expect(watch(4, 3).slowness).toBeGreaterThan(7);
 });
 
-test('a backend server where nothing moves shows within three looks', () => {
+test('a backend server that makes no progress shows within three polls', () => {
   expect(watch(0, 3).slowness).toBe(100);
 });
 
-test('nothing is said before some work was seen', () => {
+test('slowness is undefined before any work was sampled', () => {
   expect(watch(33, 0).slowness).toBeUndefined();
 });
 
-test('three failures in a row are more than half, and one done run is less again', () => {
+test('three failures in a row raise the failure rate above a half, and one success lowers it below', () => {
   const health = watch(33, 1);
   const shares = [false, false, false, true].map((isDone) => {
     health.recordEnd(runOf(), isDone);
@@ -83,11 +83,11 @@
   expect(shares).toEqual([25, 44, 58, 43]);
 });
 
-test('a slow backend server that is given nothing stays slow', () => {
+test('a slow backend server that is idle keeps its slowness', () => {
   expect(leaveIdle(5_000).health.slowness).toBeGreaterThan(5);
 });
 
-test('after three trials that go as estimated it is slow no more', () => {
+test('after three probes that take as long as estimated it is no longer slow', () => {
   const { timer, health } = leaveIdle(5_000);
   for (let trial = 0; trial < 3; trial += 1) {
     const run = { ...runOf(), startedAt: timer.now() };
@@ -98,7 +98,10 @@
   expect(health.slowness).toBeLessThan(2);
 });
 
-/** The speed known after sixteen batches of one task of 300 ms that take this many times as long, two at a time. */
+/**
+ * The duration ratio after sixteen batches of one task of 300 ms that take this many times as long, two at a
+ * time.
+ */
 function speedAfter(times: number): number | undefined {
   const timer = ManualTimer.create();
   const health = BackendHealth.create(timer);
@@ -117,6 +120,6 @@
   return health.durations.ratio;
 }
 
-test('a backend server that is slow by its kind is known for it, and one that is ill is not', () => {
+test('the duration ratio of a slow machine is learned, that of an unhealthy backend server is not', () => {
   expect([speedAfter(1.7), speedAfter(8)]).toEqual([expect.closeTo(1.617, 3), undefined]);
 });
--- a/test/runs/BackendIncarnation.test.ts
+++ b/test/runs/BackendIncarnation.test.ts
@@ -10,14 +10,14 @@
   expect(runCase.ends).toEqual(['a.0 DONE', 'a.1 FAILED']);
 });
 
-test('a task for which there is no room is refused', async () => {
+test('a task without free capacity is refused', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 5);
   await runCase.timer.advance(50);
   expect([runCase.ends, backend.busiest]).toEqual([['a.4 REFUSED'], 4]);
 });
 
-test('an order that finds no room starts when a run ends within a moment', async () => {
+test('a start request that finds no free capacity is executed if a run ends within a few milliseconds', async () => {
   const { runCase, backend } = await RunCase.open((run) => ({
     ms: run.index === 0 ? 60 : 900,
     fails: false,
@@ -29,7 +29,7 @@
   expect([runCase.ends, backend.busiest]).toEqual([['a.0 DONE'], 4]);
 });
 
-test('what is being stopped takes its room until its end is listed', async () => {
+test('a run that is being stopped occupies its capacity until its end is listed', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 4);
   await runCase.timer.advance(10);
@@ -81,7 +81,7 @@
   expect(runCase.ends.at(-1)).toBe('b.0 DONE');
 });
 
-test('a start that is never answered is stopped before its room is given back', async () => {
+test('a start that is never answered is stopped before its capacity is freed', async () => {
   const { runCase, backend } = await RunCase.open();
   for (let i = 0; i < 5; i += 1) backend.fail({ call: 'start', how: 'late', lateMs: 2_000 });
   runCase.startTasks('a');
@@ -89,7 +89,7 @@
   expect([runCase.ends, backend.starts, runCase.host.size]).toEqual([['a.0 LOST'], [], 0]);
 });
 
-test('a refusal after a start that is still on its way proves nothing', async () => {
+test('a refusal proves nothing while an earlier start is still in flight', async () => {
   const { runCase, backend } = await RunCase.open();
   backend.fail({ call: 'start', how: 'late', lateMs: 1_000 });
   backend.refusing = 'unfit';
@@ -110,7 +110,7 @@
   expect([runCase.ends, backend.tasks]).toEqual([['a.0 LOST'], []]);
 });
 
-test('runs at a silent backend server are over only when their lease has surely passed', async () => {
+test('runs at a silent backend server end only when their lease is known to have expired', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(100);
@@ -132,7 +132,7 @@
   `);
 });
 
-test('a backend server that was silent takes tasks again when it answers', async () => {
+test('a backend server that was silent accepts tasks again when it answers', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(100);
@@ -144,7 +144,7 @@
   expect([wasAccepting, runCase.host.isAccepting]).toEqual([false, true]);
 });
 
-test('a backend server that leaves two calls unanswered gets nothing new until it answers', async () => {
+test('a backend server with two unanswered calls gets nothing new until it answers', async () => {
   const { runCase, backend } = await RunCase.open();
   for (let round = 0; round < 8; round += 1) {
     runCase.startTasks(`a${round}`, 4, { spec: '5' });
@@ -159,9 +159,9 @@
   expect([inSilence, runCase.host.isAccepting]).toEqual([false, true]);
 });
 
-// While a backend server took connections and broke each of them at once, its sidecar renewed the lease
-// without a pause: some 1,600 calls, and as many lines "a renewal was not answered", in 0.7 s.
-test('a renewal that fails at once is made again after a pause', async () => {
+// While a backend server accepted connections and reset each of them at once, its sidecar renewed the lease in
+// a tight loop: some 1,600 calls in 0.7 s, each with a log line.
+test('a renewal that fails at once is retried after a delay', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '500' });
   await runCase.timer.advance(10);
@@ -176,7 +176,7 @@
   expect(broken).toBeLessThan(12);
 });
 
-test('runs of a backend server whose process is gone are over at once', async () => {
+test('runs of a backend server whose process is gone end at once', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a');
   await runCase.timer.advance(10);
@@ -194,7 +194,7 @@
   expect([runCase.ends, backend.starts]).toEqual([['a.0 REFUSED'], []]);
 });
 
-test('a new backend server is asked again when its first answer is lost', async () => {
+test('a new backend server is called again when its first answer is lost', async () => {
   const { runCase } = await RunCase.open();
   const next = runCase.addIncarnation('b2');
   next.fail({ call: 'hold', how: 'dropped' });
@@ -203,7 +203,7 @@
   expect(runCase.host.current?.heartbeat.id).toBe('b2');
 });
 
-test('a late heartbeat of an ended life does not displace the new one', async () => {
+test('a late heartbeat of an ended incarnation does not displace the new one', async () => {
   const { runCase, backend } = await RunCase.open();
   backend.replace();
   const late = backend.report();
@@ -215,7 +215,7 @@
   expect(runCase.host.current?.heartbeat.id).toBe('b2');
 });
 
-test('what an earlier sidecar left running is stopped before tasks are taken', async () => {
+test('what an earlier sidecar left running is stopped before tasks are accepted', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '700' });
   await runCase.timer.advance(10);
@@ -225,7 +225,7 @@
   expect([before, backend.tasks, second.host.isAccepting]).toEqual([['a.0.0'], [], true]);
 });
 
-test('the same task for another owner waits until the earlier run is over', async () => {
+test('the same task for another owner waits until the earlier run has ended', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
@@ -234,7 +234,7 @@
   expect([runCase.ends, backend.busiest]).toEqual([['a.0 LOST', 'a.0 DONE'], 1]);
 });
 
-test('an attempt number that was used there before is raised', async () => {
+test('an attempt number that is already used there is raised', async () => {
   const { runCase, backend } = await RunCase.open();
   await backend.stop({ batch: 'a', step: 0, index: 0, attempt: 1 }, 50_000, 100);
   runCase.startTasks('a');
@@ -242,7 +242,7 @@
   expect([runCase.ends, backend.starts[0]?.attempt]).toEqual([['a.0 DONE'], 2]);
 });
 
-test('tasks without the label, of another service, or too many together are refused', async () => {
+test('tasks without the label, of another service, or too many of a step are refused', async () => {
   const { runCase } = await RunCase.open();
   runCase.startTasks('a', 1, { label: 'x' });
   runCase.startTasks('b', 1, { service: 'other' });
@@ -251,9 +251,9 @@
   expect(runCase.ends).toEqual(['a.0 REFUSED', 'b.0 REFUSED', 'c.1 REFUSED']);
 });
 
-// What a backend server says of its room was taken once, with its first heartbeat of a life; later ones counted
-// for the next order only, and no entry was told.
-test('room that has shrunk below what runs takes nothing until enough has ended', async () => {
+// The capacity that a backend server reports was read from the first heartbeat of an incarnation only; later
+// values applied only to the next start request, and no entry was notified.
+test('after capacity has shrunk below what runs, nothing starts until enough has ended', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 4);
   await runCase.timer.advance(100);
@@ -269,7 +269,7 @@
   ]);
 });
 
-test('a heartbeat that comes late does not bring back room that is gone', async () => {
+test('a late heartbeat does not restore capacity that is gone', async () => {
   const { runCase, backend } = await RunCase.open();
   const late = backend.report();
   const half = Resources.of({ cpuMilli: 8_000, memoryMb: 4_096 });
@@ -280,15 +280,15 @@
   expect(backend.busiest).toBe(2);
 });
 
-// A backend server that went down and up reset each connection: stops were sent again without any pause, hundreds a
-// second, each over a connection of its own.
-test('calls whose connections are reset are made again after a pause', async () => {
+// A backend server that restarted repeatedly reset each connection: stops were sent again without any delay,
+// hundreds a second, each over a new connection.
+test('calls whose connections are reset are retried after a delay', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 4, { spec: '5000' });
   await runCase.timer.advance(50);
   backend.resetConnections();
   runCase.host.stop(runCase.owner, 'asked');
   await runCase.timer.advance(150);
-  // Four stops and the looks, each 30 ms after the one before at the earliest.
+  // Four stops and the polls, each at least 30 ms after the one before.
   expect(backend.resets).toBeLessThanOrEqual(5 * 6);
 });
--- a/test/runs/CapacityOffers.test.ts
+++ b/test/runs/CapacityOffers.test.ts
@@ -24,18 +24,18 @@
   return { timer, all, wish };
 }
 
-test('while nobody waits, anybody may use the room', () => {
+test('while no entry has demand, anybody may use the free capacity', () => {
   expect(turns().all.assign(room)).toBe('anybody');
 });
 
-test('a lower rank goes first, whatever the time left', () => {
+test('a lower rank goes first, whatever the slack', () => {
   const { all, wish } = turns();
   wish(first, 4, 10);
   wish(second, 1, 900);
   expect(all.assign(room)).toBe(second);
 });
 
-test('among equal ranks whoever has to start soonest goes first, by when it was heard', async () => {
+test('among equal ranks the earliest start time goes first, counted from when the demand arrived', async () => {
   const { all, wish, timer } = turns();
   wish(first, 1, 100);
   await timer.advance(50);
@@ -43,7 +43,7 @@
   expect(all.assign(room)).toBe(first);
 });
 
-test('an offer stands until it is used', () => {
+test('an offer stays open until it is used', () => {
   const { all, wish } = turns();
   wish(first, 1, 50);
   const offered = all.assign(room);
@@ -53,7 +53,7 @@
   expect([offered, standing, all.assign(room)]).toEqual([first, first, second]);
 });
 
-test('an offer that is let pass goes to the next', async () => {
+test('an offer that expires unused goes to the next entry', async () => {
   const { all, wish, timer } = turns();
   wish(first, 1, 50);
   wish(second, 1, 500);
@@ -62,7 +62,7 @@
   expect(all.assign(room)).toBe(second);
 });
 
-test('an entry that waits for nothing any more loses its turn', () => {
+test('an entry without demand loses its offer', () => {
   const { all, wish } = turns();
   wish(first, 1, 50);
   wish(second, 1, 500);
@@ -71,13 +71,13 @@
   expect(all.assign(room)).toBe(second);
 });
 
-test('room that is too small for all that wait is offered to nobody', () => {
+test('capacity that is too small for each waiting entry is offered to nobody', () => {
   const { all, wish } = turns();
   wish(first, 1, 50, 9_000);
   expect(all.assign(room)).toBe('nobody');
 });
 
-test('who needs less goes first when the most urgent does not fit', () => {
+test('a smaller demand goes first when the most urgent one does not fit', () => {
   const { all, wish } = turns();
   wish(first, 0, 50, 9_000);
   wish(second, 5, 900);
--- a/test/runs/CapacityReports.test.ts
+++ b/test/runs/CapacityReports.test.ts
@@ -16,17 +16,17 @@
   return batchCase.network.messageCounts().room ?? 0;
 }
 
-test('while there is plenty an entry hears nothing of what its own orders take', async () => {
+test('while capacity is plentiful an entry gets no reports of what its own runs occupy', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
   expect(await roomReports(batchCase, () => batchCase.submit('a', { ms: 500 }))).toBe(0);
 });
 
-test('an entry hears of room that the orders of another take', async () => {
+test('an entry gets a report of capacity that the runs of another occupy', async () => {
   const batchCase = await BatchCase.open({ entries: 2, sidecars: 1 });
   expect(await roomReports(batchCase, () => batchCase.submit('a', { ms: 500 }))).toBe(1);
 });
 
-test('room that is left is offered to the entry whose batch must start first', async () => {
+test('scarce capacity is offered to the entry whose batch must start first', async () => {
   const work = (run: RunId) => ({
     ms: run.batch === 'full' ? 100 + 100 * run.index : 500,
     fails: false,
@@ -41,7 +41,7 @@
   expect(batchCase.running).toEqual(['full.0.1', 'full.0.2', 'full.0.3', 'pressing.0.0']);
 });
 
-test('what waits at two entries fills all the room that comes free', async () => {
+test('batches that wait at two entries fill all the capacity that becomes free', async () => {
   const batchCase = await BatchCase.open({ entries: 2, sidecars: 1 });
   batchCase.submit('full', { tasks: 4, ms: 100 });
   await batchCase.timer.advance(20);
@@ -51,14 +51,14 @@
   expect(batchCase.running.length).toBe(4);
 });
 
-test('an entry hears of memory that the orders of another take, though there are cores enough', async () => {
+test('an entry gets a report of memory that the runs of another occupy, though there are cores enough', async () => {
   const batchCase = await BatchCase.open({ entries: 2, sidecars: 1 });
   const needs = Resources.of({ cpuMilli: 100, memoryMb: 4_000 });
   const wide = { ...batchCase.stepOf(1, 500), needs };
   expect(await roomReports(batchCase, () => batchCase.submit('a', { steps: [wide] }))).toBe(1);
 });
 
-/** An owner that notes how many cores it is told are free. */
+/** An entry link that records how many cores are reported to it as free. */
 function ownerOf() {
   const told: (number | undefined)[] = [];
   const send = ({ value }: { value: Room }) => told.push(value.free?.cpuMilli);
@@ -68,8 +68,8 @@
   };
 }
 
-// Each offer that was let pass cost a second message, by which it was taken back.
-test('an offer that has lapsed goes to the next, and is not taken back', async () => {
+// Each offer that expired unused cost a second message, which withdrew it.
+test('an expired offer goes to the next entry without being withdrawn', async () => {
   const { runCase } = await RunCase.open();
   const [first, second] = [ownerOf(), ownerOf()];
   const turns = CapacityOffers.create(runCase.timer);
--- a/test/runs/EndedIncarnations.test.ts
+++ b/test/runs/EndedIncarnations.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import EndedIncarnations from '../../src/runs/EndedIncarnations';
 
-test('a life has ended when it, or a later one under its id, is known to have', () => {
+test('an incarnation has ended if it, or a later one under its id, is known to have', () => {
   const ended = EndedIncarnations.create();
   ended.add({ id: 'a', born: 7 }, 100);
   ended.add({ id: 'a', born: 5 }, 90);
@@ -13,7 +13,7 @@
   ]);
 });
 
-test('of many ended lives the oldest are forgotten', () => {
+test('of many ended incarnations the oldest are forgotten', () => {
   const ended = EndedIncarnations.create();
   for (let number = 0; number < 100; number += 1) ended.add({ id: `${number}` });
   expect(['0', '99'].map((id) => ended.has({ id }))).toEqual([false, true]);
--- a/test/runs/incarnations.test.ts
+++ b/test/runs/incarnations.test.ts
@@ -3,9 +3,9 @@
 import BatchCase from '../support/BatchCase';
 import RunCase from '../support/RunCase';
 
-// A backend server may start again under its id. Its heartbeats then begin at 1, so they were taken for late ones
-// and passed over; its ends begin at 1 too, below the last one heard, so what had ended was reported as lost; its
-// clock, which is our fencing token, begins anew, so orders of before were carried out, and ours then refused.
+// A backend server may restart under the same id. Its heartbeats then begin at 1, so they were ignored as late
+// ones; its ends begin at 1 too, below the last one processed, so runs that had ended were reported as lost;
+// its clock, which was the fencing token, starts anew, so earlier starts were executed, and ours then refused.
 
 const BORN = 1_780_000_000_000;
 
@@ -18,7 +18,7 @@
   return { runCase, backend, heartbeat };
 }
 
-/** Three ends are heard, so that the numbers of a life that starts anew are below them. */
+/** Three ends are processed first, so that the end numbers of the next incarnation are below them. */
 async function withEnds() {
   const parts = await open();
   parts.runCase.startTasks('before', 3, { spec: '20' });
@@ -28,7 +28,7 @@
   return parts;
 }
 
-test('tasks of a life under the same id are reported as they end there', async () => {
+test('runs of an incarnation under the same id are reported as they end there', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   backend.restart();
   await heartbeat();
@@ -37,7 +37,7 @@
   expect(runCase.ends).toEqual(['a.0 DONE', 'a.1 DONE']);
 });
 
-test('a restart under load ends what ran, and the next life is filled again', async () => {
+test('a restart under load ends what ran, and the next incarnation is filled again', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   runCase.startTasks('a', 4, { spec: '900' });
   await runCase.timer.advance(200);
@@ -53,7 +53,7 @@
   ]);
 });
 
-test('a backend server that starts again twice in a row is served in its third life', async () => {
+test('a backend server that restarts twice in a row is served in its third incarnation', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   runCase.startTasks('a', 2, { spec: '900' });
   await runCase.timer.advance(100);
@@ -70,7 +70,7 @@
   ]);
 });
 
-test('a heartbeat of an earlier life that comes late changes nothing', async () => {
+test('a late heartbeat of an earlier incarnation changes nothing', async () => {
   const { runCase, backend, heartbeat } = await open();
   const late = { ...backend.report({ draining: true }), sequence: 1_000 };
   backend.restart();
@@ -82,7 +82,7 @@
   expect(runCase.ends).toEqual(['a.0 DONE']);
 });
 
-test('a heartbeat that follows the word that it leaves is that of a backend server which stays', async () => {
+test('a heartbeat after the announcement of a shutdown shows that the backend server stays', async () => {
   const { runCase, backend, heartbeat } = await open();
   backend.restart();
   await heartbeat();
@@ -92,7 +92,7 @@
   expect([whileLeaving, runCase.host.isAccepting]).toEqual([false, true]);
 });
 
-test('a list of runs shows that a later life is there, before its first heartbeat', async () => {
+test('a poll result shows a later incarnation before its first heartbeat', async () => {
   const { runCase, backend } = await withEnds();
   runCase.startTasks('a', 2, { spec: '900' });
   await runCase.timer.advance(200);
@@ -101,7 +101,7 @@
   expect([runCase.ends, runCase.host.current]).toEqual([['a.0 LOST', 'a.1 LOST'], undefined]);
 });
 
-/** Orders a task, and notes what runs at the backend server when it is told that the run is over. */
+/** Starts a task, and records what runs at the backend server when the end of the run is reported. */
 function watch(runCase: RunCase, backend: LeasedBackend): string[] {
   const seen: string[] = [];
   const ended = (): unknown => seen.push(`over, ${backend.tasks.length} run`);
@@ -113,7 +113,7 @@
   ['before the next life is known', 20],
   ['after the next life is known', 90],
 ])(
-  'an order that is carried out late, %s, is over only when nothing of it runs',
+  'a start that is executed late, %s, has ended only when nothing of it runs',
   async (_name, lateMs) => {
     const { runCase, backend, heartbeat } = await withEnds();
     backend.fail({ call: 'start', how: 'late', lateMs });
@@ -128,7 +128,7 @@
   },
 );
 
-test('a start that the next life has answered unknown to us is over only when nothing of it runs', async () => {
+test('a start answered by the next incarnation before that is known has ended only when nothing of it runs', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   backend.restart();
   const seen = watch(runCase, backend);
@@ -139,9 +139,9 @@
   expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['over, 0 run'], []]);
 });
 
-// It was held for over when the lease had passed that it was sent with. The next life reckons that by a clock that begins
-// anew, so it started the task, which ran elsewhere already.
-test('a task whose order a next life carries out after 1.4 s does not run twice at once', async () => {
+// The run was presumed to have ended when the lease that its start carried had expired. The next incarnation
+// measures the lease by a clock that begins anew, so it started the task, which already ran elsewhere.
+test('a task whose start a next incarnation executes after 1.4 s does not run twice at once', async () => {
   const batchCase = await BatchCase.open({ entries: 1, firstStartedAt: BORN });
   const { timer, backends } = batchCase;
   batchCase.submit('a', { ms: 3_000 });
@@ -156,7 +156,7 @@
   expect([batchCase.maxConcurrentRuns, batchCase.running]).toEqual([1, ['a.0.0']]);
 });
 
-test('without a next life an order without an answer is over when none is carried out as late any more', async () => {
+test('without a next incarnation an unanswered start has ended once no start can be executed that late', async () => {
   const { runCase, backend } = await withEnds();
   backend.fail({ call: 'start', how: 'lost' });
   const seen = watch(runCase, backend);
@@ -168,7 +168,7 @@
   expect([before, seen, runCase.host.size]).toEqual([[], ['over, 0 run'], 0]);
 });
 
-test('an order without an answer is over in time when its job was cancelled meanwhile', async () => {
+test('an unanswered start ends in time when its job was cancelled meanwhile', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   backend.fail({ call: 'start', how: 'late', lateMs: 20 });
   const seen = watch(runCase, backend);
@@ -183,7 +183,7 @@
   expect([hasRuns, end]).toEqual([true, [false, ['over, 0 run'], []]]);
 });
 
-test('a sidecar that starts anew beside a later life is not fenced out, and its predecessor is', async () => {
+test('a sidecar that restarts beside a later incarnation is not fenced, and its predecessor is', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   await runCase.timer.advance(5_000);
   backend.restart();
@@ -191,7 +191,7 @@
   backend.fail({ call: 'start', how: 'late', lateMs: 100 });
   runCase.startTasks('old', 1, { spec: '900' });
   await runCase.timer.advance(10);
-  // The earlier process is gone; its order is still on its way.
+  // The earlier process is gone; its start is still in flight.
   const next = RunCase.restartSidecar(backend, runCase.timer);
   await runCase.timer.advance(60);
   next.startTasks('new', 1, { spec: '20' });
@@ -199,8 +199,8 @@
   expect([next.ends, backend.starts.at(-1)?.batch]).toEqual([['new.0 DONE'], 'new']);
 });
 
-// The token was the backend server's clock, which starts anew with each of its lives.
-test('an order of an earlier sidecar to an earlier life is refused when it is carried out late', async () => {
+// The token was the backend server's clock, which starts anew with each of its incarnations.
+test('a start from an earlier sidecar to an earlier incarnation is refused when it is executed late', async () => {
   const { runCase, backend } = await open();
   await runCase.timer.advance(5_000);
   const earlier = RunCase.restartSidecar(backend, runCase.timer);
@@ -216,8 +216,8 @@
   expect([next.ends, backend.starts.map(({ batch }) => batch)]).toEqual([['new.0 DONE'], ['new']]);
 });
 
-// Clocks of lives need not begin alike: an earlier sidecar's token may be ahead by any amount.
-test('a sidecar that is fenced out soon has a token that counts', async () => {
+// The clocks of incarnations need not begin alike: an earlier sidecar's token may be ahead by any amount.
+test('a sidecar that is fenced soon has a valid token', async () => {
   const { runCase, backend } = await open();
   await backend.poll(0, BORN + 86_400_000, 0, 100);
   const next = RunCase.restartSidecar(backend, runCase.timer);
@@ -229,7 +229,7 @@
   expect(next.ends.at(-1)).toBe('a7.0 DONE');
 });
 
-test('a heartbeat under the id of the life that is there, but of another service, changes nothing', async () => {
+test('a heartbeat under the id of the current incarnation, but of another service, changes nothing', async () => {
   const { runCase, backend } = await open();
   runCase.host.handleHeartbeat(backend.report({ service: 'other' }));
   runCase.startTasks('a', 1, { spec: '20' });
@@ -237,8 +237,8 @@
   expect(runCase.ends).toEqual(['a.0 DONE']);
 });
 
-// Two refused connections show that a backend server is gone; the order that met the first was sent again all the same.
-test('a start that waits to be sent again is not sent to the next life', async () => {
+// Two refused connections show that a backend server is gone, but the start that met the first was sent again.
+test('a start that waits for its retry is not sent to the next incarnation', async () => {
   const { runCase, backend } = await open();
   runCase.startTasks('before', 1, { spec: '5000' });
   await runCase.timer.advance(20);
@@ -251,7 +251,7 @@
   expect([ends, backend.tasks]).toEqual([['a.0 LOST', 'a.1 LOST', 'before.0 LOST'], []]);
 });
 
-test('a run is over only when nothing of it runs, also after an error in its sidecar', async () => {
+test('a run has ended only when nothing of it runs, also after an error in its sidecar', async () => {
   const { runCase, backend } = await RunCase.open();
   const seen = watch(runCase, backend);
   await runCase.timer.advance(100);
@@ -262,8 +262,8 @@
   expect(seen).toEqual(['over, 0 run']);
 });
 
-// Its heartbeats were passed over as those of an ended life.
-test('a backend server that was given up by an error takes tasks again after its next heartbeat', async () => {
+// Its heartbeats were ignored as those of an ended incarnation.
+test('a backend server that was abandoned after an error accepts tasks again after its next heartbeat', async () => {
   const { runCase, backend } = await RunCase.open();
   const seen = watch(runCase, backend);
   await runCase.timer.advance(100);
@@ -280,7 +280,7 @@
   expect([seen, runCase.ends]).toEqual([['over, 0 run'], ['b.0 DONE']]);
 });
 
-test('a run is over only when nothing of it runs, also when a backend server comes to another address', async () => {
+test('a run has ended only when nothing of it runs, also when another backend server appears at another address', async () => {
   const { runCase, backend } = await RunCase.open();
   const seen = watch(runCase, backend);
   await runCase.timer.advance(100);
@@ -289,12 +289,12 @@
   expect(seen).toEqual(['over, 0 run']);
 });
 
-/** Longer than anything that a backend server says of its start can be late, ms. */
+/** Longer than any report of a start time can be delayed, ms. */
 const SET_BACK_MS = 100_000;
 
-// What a life told of its start was taken for the word of the life before, since it was earlier: its answers counted as none,
-// and its heartbeats as late ones.
-test('a start that a life with a clock set back has answered is over only when nothing of it runs', async () => {
+// An incarnation with a start time before that of its predecessor was mistaken for an earlier one, since only
+// the start times were compared: its answers counted as none, and its heartbeats as late ones.
+test('a start answered by an incarnation whose clock was set back has ended only when nothing of it runs', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   await runCase.timer.advance(5_000);
   await heartbeat();
@@ -304,14 +304,14 @@
   runCase.startTasks('a', 1, { spec: '5000', onEnded: ended });
   await runCase.timer.advance(10);
   const [ran] = backend.tasks;
-  // The lease that it was given is by the clock of the life before.
+  // The lease of the start is by the clock of the previous incarnation.
   await runCase.timer.advance(950);
   await heartbeat();
   await runCase.timer.advance(200);
   expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['over, 0 run'], []]);
 });
 
-test('a life with a clock set back takes tasks once an answer has shown that it is there', async () => {
+test('an incarnation whose clock was set back accepts tasks once an answer has shown that it is there', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   const late = { ...backend.report(), sequence: 1_000 };
   backend.restart(SET_BACK_MS);
@@ -325,7 +325,7 @@
   expect(runCase.ends.slice(1)).toEqual(['b.0 DONE', 'b.1 DONE']);
 });
 
-test('after a life with a clock set back the next one takes tasks', async () => {
+test('after an incarnation whose clock was set back the next one accepts tasks', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   for (const setBackMs of [SET_BACK_MS, SET_BACK_MS - 1_000]) {
     await runCase.timer.advance(50);
--- a/test/runs/incarnationsUnderLoad.test.ts
+++ b/test/runs/incarnationsUnderLoad.test.ts
@@ -3,13 +3,13 @@
 
 const BORN = 1_780_000_000_000;
 
-/** A backend server that starts again sends its first heartbeat so much later, ms. */
+/** Delay of the first heartbeat after a restart, ms. */
 const NOTICED_MS = 15;
 
 /** Restarts or crashes while the load lasts. */
 const ROUNDS = 10;
 
-/** Two entries and two backend servers that start again under their ids, one after the other, while batches come. */
+/** Two entries and two backend servers that restart under the same ids, one after the other, under load. */
 async function load(batches: number, between: (batchCase: BatchCase, round: number) => void) {
   const batchCase = await BatchCase.open({ firstStartedAt: BORN });
   const { timer } = batchCase;
@@ -31,12 +31,12 @@
   batchCase.timer.after(NOTICED_MS, () => batchCase.sendHeartbeat(number));
 }
 
-test('batches are completed while backend servers start again under their ids', async () => {
+test('batches are completed while backend servers restart under the same ids', async () => {
   const { batchCase, answers } = await load(4, (each, round) => restart(each, round % 2));
   expect([new Set(answers), batchCase.maxConcurrentRuns]).toEqual([new Set(['completed']), 1]);
 });
 
-test('no task runs twice when orders without an answer are carried out by the next life', async () => {
+test('no task runs twice when unanswered starts are executed by the next incarnation', async () => {
   const { batchCase, answers } = await load(1, (each, round) => {
     const number = round % 2;
     for (const lateMs of [5, 10, 30, 120, 200]) {
@@ -48,7 +48,7 @@
   expect([new Set(answers), batchCase.maxConcurrentRuns]).toEqual([new Set(['completed']), 1]);
 });
 
-test('a backend server that is down and up by turns under its id serves whenever it is up', async () => {
+test('a backend server that crashes and restarts repeatedly under its id serves whenever it is up', async () => {
   const { batchCase, answers } = await load(4, (each, round) => {
     each.backends[round % 2]!.crash();
     each.timer.after(100, () => restart(each, round % 2));
@@ -61,7 +61,7 @@
   ]);
 });
 
-test('nothing of an entry that is gone runs on in the next life of a backend server', async () => {
+test('nothing requested by an entry that is gone runs on in the next incarnation of a backend server', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1, firstStartedAt: BORN });
   const { timer } = batchCase;
   const [backend] = batchCase.backends;
--- a/test/runs/lateStarts.test.ts
+++ b/test/runs/lateStarts.test.ts
@@ -2,7 +2,7 @@
 import BatchCase from '../support/BatchCase';
 import RunCase from '../support/RunCase';
 
-/** An order whose five starts get no answer and are carried out a second later. */
+/** A start request whose five starts get no answer and are executed a second later. */
 async function withLateStarts() {
   const { runCase, backend } = await RunCase.open();
   for (let i = 0; i < 5; i += 1) backend.fail({ call: 'start', how: 'late', lateMs: 1_000 });
@@ -20,10 +20,10 @@
 
 const stranger = { batch: 'x', step: 0, index: 0, attempt: 1 };
 
-/** The fencing token of the sidecar that is there now: its backend server's clock at the first heartbeat. */
+/** The fencing token of the current sidecar: its backend server's clock at the first heartbeat. */
 const TOKEN = 50_000;
 
-test('a start of a sidecar that was here before is refused when it is carried out late', async () => {
+test('a late start from an earlier sidecar is refused', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
@@ -41,19 +41,21 @@
   expect([started, backend.tasks]).toEqual([['a.0.0', 'x.0.0'], ['a.0.0']]);
 });
 
-test('a task that starts late at an idle backend server ends with the lease it was sent with', async () => {
+test('a task that starts late at an idle backend server ends with the lease that its start carried', async () => {
   const { runCase, backend } = await RunCase.open();
   await backend.start(stranger, '5000', backend.report().clockMs + 100, TOKEN, 100);
   await runCase.timer.advance(200);
   expect(backend.tasks).toEqual([]);
 });
 
-/** What runs, by name, and how often something was started, 5 s after a job's orders went unanswered. */
+/**
+ * Loses the answers to a job's starts, applies the event, and returns the running tasks 1.5 s and 5 s later.
+ */
 async function afterLateStarts(happen: (batchCase: BatchCase, caller: AbortController) => void) {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
   const { timer } = batchCase;
   const [backend] = batchCase.backends;
-  // The first tries are carried out late, in part after the job has been given up.
+  // The first starts are executed late, in part after the job has been given up.
   for (const lateMs of [20, 60, 300, 1_000, 2_500, 4_000]) {
     backend!.fail({ call: 'start', how: 'late', lateMs });
   }
@@ -66,21 +68,22 @@
   return [soon, batchCase.running];
 }
 
-test('what is started late of a job that was cancelled does not run on', async () => {
+test('late starts of a cancelled job do not run on', async () => {
   expect(await afterLateStarts((_batchCase, caller) => caller.abort())).toEqual([[], []]);
 });
 
-test('what is started late for an entry that was removed does not run on', async () => {
+test('late starts for an entry that was removed do not run on', async () => {
   expect(await afterLateStarts(({ network }) => network.kill('e0'))).toEqual([[], []]);
 });
 
-test('what is started late for an entry that is cut off does not run on', async () => {
+test('late starts for an isolated entry do not run on', async () => {
   const runs = await afterLateStarts(({ network }) => network.blackhole('e0', 's0'));
   expect(runs).toEqual([[], []]);
 });
 
-// The steady clock stands still during a suspension, so only the wall clock shows that the entry may be gone.
-test('a start without an answer is not sent again for an entry that has to prove anew that it is awake', async () => {
+// The monotonic clock stands still while the process is suspended, so only the wall clock shows that the entry
+// may be gone.
+test('an unanswered start is not sent again for an entry that must be confirmed alive again', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
   const { timer, backends, network } = batchCase;
   await timer.advance(300);
--- a/test/runs/pulses.test.ts
+++ b/test/runs/pulses.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import BatchCase from '../support/BatchCase';
 
-/** When the sidecar sent pulses, and when the ends of runs, ms. */
+/** When the sidecar sent pulses and ends of runs, ms. */
 interface Sent {
   readonly pulses: number[];
   readonly ends: number[];
@@ -24,9 +24,9 @@
   return Math.max(...times.slice(1).map((time, before) => time - times[before]!));
 }
 
-// A fifth of a busy entry's processor time went into pulses: each woke it by itself, though ends of runs came over the
-// same links several times a second.
-test('pulses go along with the ends of runs while there are any', async () => {
+// A fifth of a busy entry's processor time went into pulses: each one woke it separately, though ends of runs
+// arrived on the same links several times a second.
+test('pulses are piggybacked on ends of runs while there are any', async () => {
   const { batchCase, sent } = await open();
   for (let batch = 0; batch < 40; batch += 1) {
     batchCase.submit(`a${batch}`, { ms: 20 });
@@ -37,7 +37,7 @@
   expect([alone.length <= 2, longestGap(sent.pulses) <= 350, ends.size]).toEqual([true, true, 40]);
 });
 
-test('pulses keep their interval when nothing else is sent, and after something was', async () => {
+test('pulses keep their interval when nothing else is sent, and after a piggybacked one', async () => {
   const { batchCase, sent } = await open();
   batchCase.submit('a', { ms: 20 });
   await batchCase.timer.advance(5_000);
--- a/test/runs/reportedDurationRatios.test.ts
+++ b/test/runs/reportedDurationRatios.test.ts
@@ -2,7 +2,9 @@
 import type RunId from '../../src/runs/RunId';
 import BatchCase from '../support/BatchCase';
 
-/** Five backend servers of which the first takes twice as long; batches of one task pass until it is known. */
+/**
+ * Five backend servers, of which the first takes twice as long; runs batches of one task until that is known.
+ */
 async function learn(): Promise<BatchCase> {
   const backendOf = (run: RunId): number =>
     batchCase.backends.findIndex(({ starts }) => starts.at(-1) === run);
@@ -15,7 +17,7 @@
   return batchCase;
 }
 
-/** Speeds that an entry goes by, in tenths, by sidecar. */
+/** The duration ratios that an entry applies, in tenths, by sidecar. */
 function speedsOf(batchCase: BatchCase, entry = 0): Record<string, number> {
   const speeds = [...batchCase.entries[entry]!.speeds];
   return Object.fromEntries(
@@ -23,11 +25,11 @@
   );
 }
 
-test('an entry goes by the speeds that sidecars have told', async () => {
+test('an entry applies the duration ratios that sidecars report', async () => {
   expect(speedsOf(await learn())).toEqual({ s0: 16 });
 });
 
-test('an entry that has just started hears of them', async () => {
+test('an entry that has just started receives the duration ratios', async () => {
   const batchCase = await learn();
   await batchCase.addEntry(1);
   batchCase.configure(1, 1);
@@ -37,7 +39,7 @@
   expect(speedsOf(batchCase, 1)).toEqual({ s0: 16 });
 });
 
-test('a sidecar that has started again is taken for as fast as before', async () => {
+test('the duration ratio is kept when its sidecar restarts', async () => {
   const batchCase = await learn();
   batchCase.network.kill('s0');
   batchCase.restartSidecar(0);
--- a/test/runs/silentEntries.test.ts
+++ b/test/runs/silentEntries.test.ts
@@ -2,10 +2,10 @@
 import type LeasedBackend from '../../tools/leasedBackend/LeasedBackend';
 import BatchCase from '../support/BatchCase';
 
-/** When the users' callers submit again after their entry was lost, ms. */
+/** When callers of a lost entry resubmit at the earliest, ms. */
 const CALLER_RETURNS_MS = 1_300;
 
-/** Time to kill what runs, and for timers to be late, ms. */
+/** Time to kill runs, and timer lag, ms. */
 const KILLING_MS = 200;
 
 async function running(): Promise<BatchCase> {
@@ -16,9 +16,9 @@
   return batchCase;
 }
 
-// Entries with an eighth of a core answered pulses some 500 ms late while a burst lasted: 1,082 times in a
-// small day of fifteen sidecars they were taken for dead, and 1,379 runs were stopped, to be ordered again.
-test('an entry that answers half a second late is not taken for dead', async () => {
+// Entries with an eighth of a core answered pulses some 500 ms late during a burst: on a small day with fifteen
+// sidecars they were presumed dead 1,082 times, and 1,379 runs were stopped and had to be dispatched again.
+test('an entry that answers half a second late is not presumed dead', async () => {
   const batchCase = await running();
   batchCase.network.delay('e0', 's0', 265);
   await batchCase.timer.advance(3_000);
@@ -26,7 +26,7 @@
 });
 
 test.each([0, 100, 200, 300])(
-  'the runs of an entry that falls silent %i ms later are over when its callers return',
+  'the runs of an entry that goes silent %i ms later have ended when its callers resubmit',
   async (laterMs) => {
     const batchCase = await running();
     await batchCase.timer.advance(laterMs);
@@ -36,8 +36,9 @@
   },
 );
 
-// After a hold-up of the sidecar the silence of its entries was counted anew, also where only its wall clock was set.
-test('a wall clock that is set does not prolong the runs of a silent entry', async () => {
+// After a pause of the sidecar the silence of its entries was measured anew, even if only its wall clock was
+// set.
+test('setting the wall clock does not extend the runs of a silent entry', async () => {
   const batchCase = await running();
   const { timer } = batchCase;
   batchCase.network.blackhole('e0', 's0');
@@ -63,9 +64,9 @@
   for (let stops = 0; stops < 40; stops += 1) backend.fail({ call: 'stop', how: 'dropped' });
 }
 
-// The lease is that of everything on a backend server, and was renewed for the runs of others.
+// The lease covers everything on a backend server, and was renewed for the runs of other entries.
 test.each([0, 100, 200, 300])(
-  'a run of an entry that falls silent %i ms later, whose stop goes unanswered, is over when its caller returns',
+  'a run of an entry that goes silent %i ms later, whose stop is not answered, has ended when its caller resubmits',
   async (laterMs) => {
     const batchCase = await twoOwners();
     await batchCase.timer.advance(laterMs);
@@ -76,7 +77,7 @@
   },
 );
 
-test('a run of a killed entry whose stop goes unanswered is over when its caller returns', async () => {
+test('a run of a killed entry whose stop is not answered has ended when its caller resubmits', async () => {
   const batchCase = await twoOwners();
   dropStops(batchCase.backends[0]!);
   batchCase.network.kill('e0');
@@ -84,7 +85,7 @@
   expect(batchCase.running).not.toContain('lost.0.0');
 });
 
-test('a task whose sidecar is out of reach and cannot stop it does not run twice at once', async () => {
+test('a task whose sidecar is unreachable and cannot stop it does not run twice at once', async () => {
   const batchCase = await BatchCase.open({ entries: 2, sidecars: 3 });
   const { timer, backends, network } = batchCase;
   const long = { ms: 20_000, waitMs: 30_000 };
@@ -102,7 +103,7 @@
   expect(batchCase.maxConcurrentRuns).toBe(1);
 });
 
-test('an order that waited in a frozen entry is not carried out when it wakes', async () => {
+test('a start request that waited in a paused entry is not executed when the entry resumes', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
   const { timer, network, backends } = batchCase;
   network.pause('e0');
--- a/test/runs/stoppedRuns.test.ts
+++ b/test/runs/stoppedRuns.test.ts
@@ -2,7 +2,7 @@
 import BatchCase from '../support/BatchCase';
 import RunCase from '../support/RunCase';
 
-/** What sidecars note of the runs that are over after something has happened to a batch's entry or caller. */
+/** What sidecars log of the runs that have ended, after an event at a batch's entry or caller. */
 async function noteOfStop(happen: (batchCase: BatchCase, caller: AbortController) => void) {
   const notes: string[] = [];
   const batchCase = await BatchCase.open({
@@ -19,7 +19,7 @@
   return [...notes, ...batchCase.sidecars[0]!.stops];
 }
 
-test('the end of a stopped run tells whose it was, why it was stopped and how long that took', async () => {
+test('the log record of a stopped run has its entry, the cause of the stop and how long that took', async () => {
   expect({
     asked: await noteOfStop((_batchCase, caller) => caller.abort()),
     silent: await noteOfStop(({ network }) => network.blackhole('e0', 's0')),
@@ -51,7 +51,7 @@
   `);
 });
 
-test('an order for a task that is still here for another entry is noted', async () => {
+test('a start request for a task that still runs for another entry is logged', async () => {
   const { runCase } = await RunCase.open();
   const stops: unknown[] = [];
   runCase.startTasks('a', 1, { onEnded: (_end, stop) => stops.push(stop?.cause) });
@@ -66,7 +66,7 @@
           "attempt": 1,
           "index": 0,
           "isOfOtherOwner": true,
-          "message": "a task is ordered that is still here",
+          "message": "a task is started again while an earlier run of it is active",
           "ranMs": 100,
           "request": "a",
           "step": 0,
--- a/test/sharing/PeerLoads.test.ts
+++ b/test/sharing/PeerLoads.test.ts
@@ -4,7 +4,7 @@
 import PeerLoads from '../../src/sharing/PeerLoads';
 import ManualTimer from '../support/ManualTimer';
 
-test('a report counts in full while it is fresh, then fades, and is forgotten', () => {
+test('a report has full weight while it is fresh, then decays, and is dropped', () => {
   const timer = ManualTimer.create();
   const others = PeerLoads.create(timer);
   others.update('e1', create(LoadReportSchema, { services: [{ service: 'booking' }] }));
--- a/test/support/RunCase.ts
+++ b/test/support/RunCase.ts
@@ -8,12 +8,12 @@
 
 type Work = Parameters<typeof LeasedBackend.create>[0]['work'];
 
-/** A sidecar's dealings with its backend server, with the ends it reports. */
+/** A sidecar's side of its backend server, with the ends that it reports. */
 export default class RunCase {
-  /** What became of each order: "task outcome". */
+  /** The outcome of each start request: "task outcome". */
   readonly ends: string[] = [];
 
-  /** Lines of the log. */
+  /** Log records. */
   readonly logRecords: Readonly<Record<string, unknown>>[] = [];
 
   readonly owner = { isConfirmed: true, silentMs: 0 };
@@ -36,7 +36,7 @@
     });
   }
 
-  /** A sidecar whose backend server has announced itself and takes tasks. */
+  /** Creates a sidecar whose backend server has announced itself and accepts tasks. */
   static async open(work?: Work, born?: number) {
     const runCase = new RunCase(ManualTimer.create());
     const backend = runCase.addIncarnation('b1', work, born);
@@ -45,7 +45,7 @@
     return { runCase, backend };
   }
 
-  /** A sidecar that starts anew beside a backend server that is there already. */
+  /** Creates a sidecar that starts beside a backend server which is already running. */
   static restartSidecar(backend: LeasedBackend, timer: ManualTimer): RunCase {
     const runCase = new RunCase(timer);
     runCase.backends.set('b1', backend);
@@ -53,14 +53,14 @@
     return runCase;
   }
 
-  /** Adds a life of the backend server, which has not announced itself. */
+  /** Adds an incarnation of the backend server, which has not announced itself. */
   addIncarnation(id: string, work?: Work, born?: number): LeasedBackend {
     const backend = LeasedBackend.create({ timer: this.timer, id, work, born });
     this.backends.set(id, backend);
     return backend;
   }
 
-  /** Orders tasks of four cores and the given time each; the backend server has room for four. */
+  /** Requests tasks of four cores and the given time each; the backend server has capacity for four. */
   startTasks(batch: string, count = 1, change: Partial<RunRequest> = {}): void {
     for (let index = 0; index < count; index += 1) this.startTask(batch, index, change);
   }
