--- a/src/placement/DurationRatioEstimator.ts
+++ b/src/placement/DurationRatioEstimator.ts
@@ -31,22 +31,22 @@
   /** Adds a task of the batch that was completed here. */
   addSample(batch: string, estimateMs: number, tookMs: number): void {
     if (estimateMs <= 0 || tookMs <= 0) return;
-    const ratio = Math.log(tookMs / estimateMs);
+    const logRatio = Math.log(tookMs / estimateMs);
     this.cachedRatio = undefined;
     const earlier = this.logRatios.get(batch);
-    if (earlier) earlier.push(ratio);
-    else this.logRatios.set(batch, [ratio]);
+    if (earlier) earlier.push(logRatio);
+    else this.logRatios.set(batch, [logRatio]);
     const [oldest] = this.logRatios.keys();
     if (this.logRatios.size > MAX_BATCHES && oldest !== undefined) this.logRatios.delete(oldest);
   }
 
   private estimate(): number {
-    const ratios = [...this.logRatios.values()].map(medianOf).sort((a, b) => a - b);
-    const cut = Math.floor(ratios.length / 4);
-    const middle = ratios.slice(cut, ratios.length - cut);
+    const medians = [...this.logRatios.values()].map(medianOf).sort((a, b) => a - b);
+    const cut = Math.floor(medians.length / 4);
+    const middle = medians.slice(cut, medians.length - cut);
     const mean = middle.reduce((sum, ratio) => sum + ratio, 0) / middle.length;
-    const sure = Math.max(0, Math.abs(mean) - SHRINKAGE / ratios.length);
-    return Math.exp(Math.sign(mean) * Math.min(MAX_LOG_RATIO, sure));
+    const shrunk = Math.max(0, Math.abs(mean) - SHRINKAGE / medians.length);
+    return Math.exp(Math.sign(mean) * Math.min(MAX_LOG_RATIO, shrunk));
   }
 }
 
--- a/src/placement/FleetDurationRatios.ts
+++ b/src/placement/FleetDurationRatios.ts
@@ -25,14 +25,17 @@
    * Duration ratios relative to the fleet's mean, of the backend servers that differ from it; for all others it
    * is 1. Empty where none differs by much, since the remaining differences are as likely chance as property.
    */
-  relativeToMean<T extends RatedBackend>(places: Iterable<T>): ReadonlyMap<T, number> {
-    const known = [...places].map((place) => ({ place, log: Math.log(this.ratioOf(place)) }));
+  relativeToMean<T extends RatedBackend>(backends: Iterable<T>): ReadonlyMap<T, number> {
+    const known = [...backends].map((backend) => ({
+      backend,
+      log: Math.log(this.ratioOf(backend)),
+    }));
     if (known.length < MIN_BACKENDS) return new Map();
-    const middle = winsorizedMean(known.map(({ log }) => log));
-    const offBy = (log: number): number => Math.abs(log - middle);
-    if (!known.some(({ log }) => offBy(log) > MIN_LOG_DIFFERENCE)) return new Map();
-    const unlike = known.filter(({ log }) => offBy(log) > ALIKE_LOG_DIFFERENCE);
-    return new Map(unlike.map(({ place, log }) => [place, Math.exp(log - middle)]));
+    const mean = winsorizedMean(known.map(({ log }) => log));
+    const distance = (log: number): number => Math.abs(log - mean);
+    if (!known.some(({ log }) => distance(log) > MIN_LOG_DIFFERENCE)) return new Map();
+    const different = known.filter(({ log }) => distance(log) > ALIKE_LOG_DIFFERENCE);
+    return new Map(different.map(({ backend, log }) => [backend, Math.exp(log - mean)]));
   }
 
   private ratioOf({ backend, durationRatio }: RatedBackend): number {
@@ -53,10 +56,10 @@
 function winsorizedMean(logs: readonly number[]): number {
   const sorted = [...logs].sort((a, b) => a - b);
   const median = sorted[Math.floor(sorted.length / 2)] ?? 0;
-  const near = logs.map((log) =>
+  const clamped = logs.map((log) =>
     Math.min(median + MAX_LOG_DIFFERENCE, Math.max(median - MAX_LOG_DIFFERENCE, log)),
   );
-  return near.reduce((sum, log) => sum + log, 0) / near.length;
+  return clamped.reduce((sum, log) => sum + log, 0) / clamped.length;
 }
 
 /** Fewest backend servers among which one can differ from the others. */
--- a/src/placement/quantizedRatio.ts
+++ b/src/placement/quantizedRatio.ts
@@ -5,16 +5,16 @@
  * estimated. Undefined while nothing was reported.
  */
 export default function quantizedRatio(
-  told: number | undefined,
-  times: number | undefined,
+  reported: number | undefined,
+  measured: number | undefined,
 ): number | undefined {
-  if (times === undefined) return told;
-  const octaves = Math.log2(times);
-  const isNews =
-    told === undefined
+  if (measured === undefined) return reported;
+  const octaves = Math.log2(measured);
+  const needsReport =
+    reported === undefined
       ? Math.abs(octaves) >= MIN_FIRST_OCTAVES
-      : Math.abs(octaves - Math.log2(told)) >= MIN_CHANGE_OCTAVES;
-  return isNews ? 2 ** (Math.round(octaves * STEPS_PER_OCTAVE) / STEPS_PER_OCTAVE) : told;
+      : Math.abs(octaves - Math.log2(reported)) >= MIN_CHANGE_OCTAVES;
+  return needsReport ? 2 ** (Math.round(octaves * STEPS_PER_OCTAVE) / STEPS_PER_OCTAVE) : reported;
 }
 
 /** Steps per octave. */
--- a/src/sharing/DecayingRate.ts
+++ b/src/sharing/DecayingRate.ts
@@ -7,8 +7,8 @@
   private constructor(private readonly timeConstantMs: number) {}
 
   /** Creates a rate of zero, in which an amount decays to a third within the time, ms. */
-  static withTimeConstant(fadeMs: number): DecayingRate {
-    return new DecayingRate(fadeMs);
+  static withTimeConstant(timeConstantMs: number): DecayingRate {
+    return new DecayingRate(timeConstantMs);
   }
 
   /** Adds an amount. */
--- a/src/sharing/combineLoads.ts
+++ b/src/sharing/combineLoads.ts
@@ -11,11 +11,11 @@
   const levels = new Map<number, Load['levels'][number]>();
   loads.forEach(({ load, weight }) =>
     load.levels.forEach(({ level, waitingMilli, startingMilli }) => {
-      const before = levels.get(level) ?? { level, waitingMilli: 0, startingMilli: 0 };
+      const sum = levels.get(level) ?? { level, waitingMilli: 0, startingMilli: 0 };
       levels.set(level, {
         level,
-        waitingMilli: before.waitingMilli + weight * waitingMilli,
-        startingMilli: before.startingMilli + weight * startingMilli,
+        waitingMilli: sum.waitingMilli + weight * waitingMilli,
+        startingMilli: sum.startingMilli + weight * startingMilli,
       });
     }),
   );
--- a/src/sharing/leavesReserve.ts
+++ b/src/sharing/leavesReserve.ts
@@ -17,6 +17,6 @@
   needs: Resources,
   reserveMilli: number,
 ): boolean {
-  const wanted = needs.cpuMilli + reserveMilli;
-  return capacity.cpuMilli < wanted || free.cpuMilli >= wanted;
+  const required = needs.cpuMilli + reserveMilli;
+  return capacity.cpuMilli < required || free.cpuMilli >= required;
 }
--- a/test/placement/DurationRatioEstimator.test.ts
+++ b/test/placement/DurationRatioEstimator.test.ts
@@ -3,34 +3,39 @@
 import DurationRatioEstimator from '../../src/placement/DurationRatioEstimator';
 
 interface Work {
-  readonly times: number;
+  readonly factor: number;
   readonly batches?: number;
   /** Share of tasks that take seven times as long as the others. */
-  readonly tail?: number;
+  readonly outlierShare?: number;
   /** Estimates are off by up to this factor in either direction, the same for all tasks of a batch. */
-  readonly error?: number;
+  readonly errorFactor?: number;
 }
 
 /** The duration ratio after batches of four tasks of 100 ms, to two decimal places. */
-function learned({ times, batches = 48, tail = 0, error = 1 }: Work): number | undefined {
+function estimated({
+  factor,
+  batches = 48,
+  outlierShare = 0,
+  errorFactor = 1,
+}: Work): number | undefined {
   const random = Random.fromSeed(1);
-  const speed = DurationRatioEstimator.create();
+  const estimator = DurationRatioEstimator.create();
   for (let batch = 0; batch < batches; batch += 1) {
-    const estimateMs = 100 * error ** (2 * random.unit() - 1);
+    const estimateMs = 100 * errorFactor ** (2 * random.unit() - 1);
     for (let task = 0; task < 4; task += 1) {
-      const tookMs = 100 * times * (random.unit() < tail ? 7 : 1);
-      speed.addSample(String(batch), estimateMs, tookMs);
+      const tookMs = 100 * factor * (random.unit() < outlierShare ? 7 : 1);
+      estimator.addSample(String(batch), estimateMs, tookMs);
     }
   }
-  return speed.ratio === undefined ? undefined : Number(speed.ratio.toFixed(2));
+  return estimator.ratio === undefined ? undefined : Number(estimator.ratio.toFixed(2));
 }
 
 test('the ratio of slow and fast machines is learned from their runs', () => {
-  expect([learned({ times: 0.7 }), learned({ times: 1.7 })]).toEqual([0.71, 1.67]);
+  expect([estimated({ factor: 0.7 }), estimated({ factor: 1.7 })]).toEqual([0.71, 1.67]);
 });
 
 test('there is no ratio after a few batches, and one closer to 1 than measured after some', () => {
-  expect([7, 8, 16, 48].map((batches) => learned({ times: 2, batches }))).toEqual([
+  expect([7, 8, 16, 48].map((batches) => estimated({ factor: 2, batches }))).toEqual([
     undefined,
     1.81,
     1.9,
@@ -39,22 +44,22 @@
 });
 
 test('tasks that take seven times as long do not make a machine slow', () => {
-  expect(learned({ times: 1, tail: 0.1 })).toBe(1);
+  expect(estimated({ factor: 1, outlierShare: 0.1 })).toBe(1);
 });
 
 test('estimates that are wrong by 40% leave the ratio within the factor up to which machines are alike', () => {
-  expect(learned({ times: 1, error: 1.4 })).toBeCloseTo(1, 1);
+  expect(estimated({ factor: 1, errorFactor: 1.4 })).toBeCloseTo(1, 1);
 });
 
 test('old batches no longer count', () => {
-  const speed = DurationRatioEstimator.create();
+  const estimator = DurationRatioEstimator.create();
   for (let batch = 0; batch < 96; batch += 1)
-    speed.addSample(`${batch}`, 100, batch < 48 ? 300 : 100);
-  expect(speed.ratio).toBe(1);
+    estimator.addSample(`${batch}`, 100, batch < 48 ? 300 : 100);
+  expect(estimator.ratio).toBe(1);
 });
 
 test('tasks without an estimate are ignored', () => {
-  const speed = DurationRatioEstimator.create();
-  for (let batch = 0; batch < 20; batch += 1) speed.addSample(`${batch}`, 0, 100);
-  expect(speed.ratio).toBeUndefined();
+  const estimator = DurationRatioEstimator.create();
+  for (let batch = 0; batch < 20; batch += 1) estimator.addSample(`${batch}`, 0, 100);
+  expect(estimator.ratio).toBeUndefined();
 });
--- a/test/placement/FleetDurationRatios.test.ts
+++ b/test/placement/FleetDurationRatios.test.ts
@@ -1,20 +1,23 @@
 import { expect, test } from 'vitest';
 import FleetDurationRatios from '../../src/placement/FleetDurationRatios';
 
-type Times = number | undefined;
+type Ratio = number | undefined;
 
 /**
  * Duration ratios relative to the fleet's mean, in hundredths, of backend servers "b0", "b1" and so on, without
  * those that are alike.
  */
 function relative(
-  told: readonly Times[],
+  reported: readonly Ratio[],
   fleet = FleetDurationRatios.create(),
 ): Record<string, number> {
-  const places = told.map((times, number) => ({ backend: `b${number}`, durationRatio: times }));
-  const speeds = [...fleet.relativeToMean(places)];
+  const backends = reported.map((ratio, number) => ({
+    backend: `b${number}`,
+    durationRatio: ratio,
+  }));
+  const relativeRatios = [...fleet.relativeToMean(backends)];
   return Object.fromEntries(
-    speeds.map(([{ backend }, times]) => [backend, Math.round(times * 100)]),
+    relativeRatios.map(([{ backend }, ratio]) => [backend, Math.round(ratio * 100)]),
   );
 }
 
--- a/test/placement/placementScore.test.ts
+++ b/test/placement/placementScore.test.ts
@@ -7,19 +7,23 @@
 /**
  * Which of two machines scores higher for a batch of one task; `waitedMs` is how long it has already waited.
  */
-function better(estimateMs: number, isThrifty: boolean, waitedMs = 0): 'fast' | 'slow' {
-  const aimAt = 1.6 * estimateMs + 60 - waitedMs;
-  const scoreAt = (times: number): number =>
+function preferred(
+  estimateMs: number,
+  conservesFastBackends: boolean,
+  waitedMs = 0,
+): 'fast' | 'slow' {
+  const targetAt = 1.6 * estimateMs + 60 - waitedMs;
+  const scoreAt = (durationRatio: number): number =>
     placementScore({
-      ...{ durationRatio: times, conservesFastBackends: isThrifty, targetAt: aimAt },
-      endsAt: estimateMs * times,
-      expiresAt: 3 * (aimAt + waitedMs) - waitedMs,
+      ...{ durationRatio, conservesFastBackends, targetAt },
+      endsAt: estimateMs * durationRatio,
+      expiresAt: 3 * (targetAt + waitedMs) - waitedMs,
     });
   return scoreAt(FAST) > scoreAt(SLOW) ? 'fast' : 'slow';
 }
 
 test('while fast machines have free capacity, every task goes there', () => {
-  expect([better(73, false), better(243, false), better(1_086, false)]).toEqual([
+  expect([preferred(73, false), preferred(243, false), preferred(1_086, false)]).toEqual([
     'fast',
     'fast',
     'fast',
@@ -27,7 +31,7 @@
 });
 
 test('when fast capacity is scarce, tasks that meet their target on a slow machine leave it to those that do not', () => {
-  expect([better(73, true), better(243, true), better(1_086, true)]).toEqual([
+  expect([preferred(73, true), preferred(243, true), preferred(1_086, true)]).toEqual([
     'slow',
     'slow',
     'fast',
@@ -35,9 +39,9 @@
 });
 
 test('when fast capacity is scarce, tasks that are late on any machine leave it to those that are not', () => {
-  expect(better(1_086, true, 2_000)).toBe('slow');
+  expect(preferred(1_086, true, 2_000)).toBe('slow');
 });
 
 test('a task that would expire on a slow machine goes to a fast one, however late it is', () => {
-  expect(better(1_086, true, 4_000)).toBe('fast');
+  expect(preferred(1_086, true, 4_000)).toBe('fast');
 });
--- a/test/placement/quantizedRatio.test.ts
+++ b/test/placement/quantizedRatio.test.ts
@@ -2,11 +2,11 @@
 import quantizedRatio from '../../src/placement/quantizedRatio';
 
 test('the reported ratio changes only when the measured one differs by more than a tenth', () => {
-  const known = [undefined, 1.05, 0.9, 1.17, 1.1, 1.7, 1.6, 1.02, undefined];
-  let told: number | undefined;
-  const tellings = known.map((times) => {
-    told = quantizedRatio(told, times);
-    return told?.toFixed(2) ?? '-';
+  const measured = [undefined, 1.05, 0.9, 1.17, 1.1, 1.7, 1.6, 1.02, undefined];
+  let reported: number | undefined;
+  const reports = measured.map((ratio) => {
+    reported = quantizedRatio(reported, ratio);
+    return reported?.toFixed(2) ?? '-';
   });
-  expect(tellings.join(' ')).toMatchInlineSnapshot(`"- - - 1.15 1.15 1.74 1.74 1.00 1.00"`);
+  expect(reports.join(' ')).toMatchInlineSnapshot(`"- - - 1.15 1.15 1.74 1.74 1.00 1.00"`);
 });
--- a/test/runs/BackendHealth.test.ts
+++ b/test/runs/BackendHealth.test.ts
@@ -5,14 +5,14 @@
 import ManualTimer from '../support/ManualTimer';
 
 /** Samples ten runs of 300 ms each that complete this much of their work in each tenth of a second. */
-function watch(percentPerLook: number, looks: number): BackendHealth {
+function sampled(percentPerSample: number, samples: number): BackendHealth {
   const timer = ManualTimer.create();
   const health = BackendHealth.create(timer);
   const runs = Array.from({ length: 10 }, runOf);
-  for (let look = 0; look < looks; look += 1) {
+  for (let sample = 0; sample < samples; sample += 1) {
     timer.jump(100);
     health.sample(runs);
-    runs.forEach((run) => health.addProgress(run, percentPerLook));
+    runs.forEach((run) => health.addProgress(run, percentPerSample));
   }
   return health;
 }
@@ -22,7 +22,7 @@
   const timer = ManualTimer.create();
   const health = BackendHealth.create(timer);
   const runs = Array.from({ length: 10 }, runOf);
-  for (let look = 0; look < 3; look += 1) {
+  for (let sample = 0; sample < 3; sample += 1) {
     timer.jump(100);
     health.sample(runs);
     runs.forEach((run) => health.addProgress(run, 4));
@@ -33,10 +33,10 @@
 }
 
 function runOf(): RunState {
-  const none = { batch: 'a', step: 0, index: 0 };
+  const task = { batch: 'a', step: 0, index: 0 };
   return {
     request: {
-      ...{ ...none, service: 's', spec: '', estimateMs: 300, attempt: 1, mostTogether: 0 },
+      ...{ ...task, service: 's', spec: '', estimateMs: 300, attempt: 1, mostTogether: 0 },
       ...{
         label: '',
         suspicion: 0,
@@ -46,7 +46,7 @@
         onEnded: () => undefined,
       },
     },
-    run: { ...none, attempt: 1 },
+    run: { ...task, attempt: 1 },
     ...{
       startedAt: 0,
       mayHaveStarted: true,
@@ -59,25 +59,25 @@
 }
 
 test('work that takes as long as estimated gives a slowness of 1', () => {
-  expect(watch(33, 3).slowness).toBeCloseTo(1, 1);
+  expect(sampled(33, 3).slowness).toBeCloseTo(1, 1);
 });
 
 test('an eightfold slowdown shows within three polls', () => {
-  expect(watch(4, 3).slowness).toBeGreaterThan(7);
+  expect(sampled(4, 3).slowness).toBeGreaterThan(7);
 });
 
 test('a backend server that makes no progress shows within three polls', () => {
-  expect(watch(0, 3).slowness).toBe(100);
+  expect(sampled(0, 3).slowness).toBe(100);
 });
 
 test('slowness is undefined before any work was sampled', () => {
-  expect(watch(33, 0).slowness).toBeUndefined();
+  expect(sampled(33, 0).slowness).toBeUndefined();
 });
 
 test('three failures in a row raise the failure rate above a half, and one success lowers it below', () => {
-  const health = watch(33, 1);
-  const shares = [false, false, false, true].map((isDone) => {
-    health.recordEnd(runOf(), isDone);
+  const health = sampled(33, 1);
+  const shares = [false, false, false, true].map((isSuccess) => {
+    health.recordEnd(runOf(), isSuccess);
     return Math.round(health.failureRate * 100);
   });
   expect(shares).toEqual([25, 44, 58, 43]);
@@ -89,7 +89,7 @@
 
 test('after three probes that take as long as estimated it is no longer slow', () => {
   const { timer, health } = leaveIdle(5_000);
-  for (let trial = 0; trial < 3; trial += 1) {
+  for (let probe = 0; probe < 3; probe += 1) {
     const run = { ...runOf(), startedAt: timer.now() };
     timer.jump(300);
     health.sample([run]);
@@ -102,7 +102,7 @@
  * The duration ratio after sixteen batches of one task of 300 ms that take this many times as long, two at a
  * time.
  */
-function speedAfter(times: number): number | undefined {
+function ratioAfter(factor: number): number | undefined {
   const timer = ManualTimer.create();
   const health = BackendHealth.create(timer);
   for (let done = 0; done < 8; done += 1) {
@@ -110,10 +110,10 @@
       const { request, ...run } = { ...runOf(), startedAt: timer.now() };
       return { ...run, request: { ...request, batch: `${name}${done}` } };
     });
-    for (let look = 1; look <= 4; look += 1) {
-      timer.jump(75 * times);
+    for (let sample = 1; sample <= 4; sample += 1) {
+      timer.jump(75 * factor);
       health.sample(runs);
-      if (look < 4) runs.forEach((run) => health.addProgress(run, 25));
+      if (sample < 4) runs.forEach((run) => health.addProgress(run, 25));
     }
     runs.forEach((run) => health.recordEnd({ ...run, percentDone: 75 }, true));
   }
@@ -121,5 +121,5 @@
 }
 
 test('the duration ratio of a slow machine is learned, that of an unhealthy backend server is not', () => {
-  expect([speedAfter(1.7), speedAfter(8)]).toEqual([expect.closeTo(1.617, 3), undefined]);
+  expect([ratioAfter(1.7), ratioAfter(8)]).toEqual([expect.closeTo(1.617, 3), undefined]);
 });
--- a/test/runs/BackendIncarnation.test.ts
+++ b/test/runs/BackendIncarnation.test.ts
@@ -118,16 +118,16 @@
   const log: string[] = [];
   for (let at = 250; at <= 1500; at += 250) {
     await runCase.timer.advance(250);
-    log.push(`${at}: ${backend.tasks.length} run, ${runCase.ends.length} over`);
+    log.push(`${at}: ${backend.tasks.length} running, ${runCase.ends.length} ended`);
   }
   expect(log).toMatchInlineSnapshot(`
     [
-      "250: 1 run, 0 over",
-      "500: 1 run, 0 over",
-      "750: 0 run, 0 over",
-      "1000: 0 run, 0 over",
-      "1250: 0 run, 1 over",
-      "1500: 0 run, 1 over",
+      "250: 1 running, 0 ended",
+      "500: 1 running, 0 ended",
+      "750: 0 running, 0 ended",
+      "1000: 0 running, 0 ended",
+      "1250: 0 running, 1 ended",
+      "1500: 0 running, 1 ended",
     ]
   `);
 });
@@ -153,10 +153,10 @@
   backend.fallSilent();
   runCase.startTasks('b', 1, { spec: '5' });
   await runCase.timer.advance(100);
-  const inSilence = runCase.host.isAccepting;
+  const whileUnresponsive = runCase.host.isAccepting;
   backend.speak();
   await runCase.timer.advance(200);
-  expect([inSilence, runCase.host.isAccepting]).toEqual([false, true]);
+  expect([whileUnresponsive, runCase.host.isAccepting]).toEqual([false, true]);
 });
 
 // While a backend server accepted connections and reset each of them at once, its sidecar renewed the lease in
--- a/test/runs/CapacityOffers.test.ts
+++ b/test/runs/CapacityOffers.test.ts
@@ -8,78 +8,78 @@
 
 const first = { name: 'first' } as unknown as EntryLink;
 const second = { name: 'second' } as unknown as EntryLink;
-const room = Resources.of({ cpuMilli: 8_000, memoryMb: 64 });
+const free = Resources.of({ cpuMilli: 8_000, memoryMb: 64 });
 
-function turns() {
+function createOffers() {
   const timer = ManualTimer.create();
-  const all = CapacityOffers.create(timer);
-  const wish = (owner: EntryLink, rank: number, slackMs: number, cpuMilli = 4_000): void =>
-    all.setDemand(
-      owner,
+  const offers = CapacityOffers.create(timer);
+  const setDemand = (entryLink: EntryLink, rank: number, slackMs: number, cpuMilli = 4_000): void =>
+    offers.setDemand(
+      entryLink,
       create(DemandSchema, {
         ...{ waiting: true, rank, slackMs },
         needs: create(AmountSchema, { cpuMilli }),
       }),
     );
-  return { timer, all, wish };
+  return { timer, offers, setDemand };
 }
 
 test('while no entry has demand, anybody may use the free capacity', () => {
-  expect(turns().all.assign(room)).toBe('anybody');
+  expect(createOffers().offers.assign(free)).toBe('anybody');
 });
 
 test('a lower rank goes first, whatever the slack', () => {
-  const { all, wish } = turns();
-  wish(first, 4, 10);
-  wish(second, 1, 900);
-  expect(all.assign(room)).toBe(second);
+  const { offers, setDemand } = createOffers();
+  setDemand(first, 4, 10);
+  setDemand(second, 1, 900);
+  expect(offers.assign(free)).toBe(second);
 });
 
 test('among equal ranks the earliest start time goes first, counted from when the demand arrived', async () => {
-  const { all, wish, timer } = turns();
-  wish(first, 1, 100);
+  const { offers, setDemand, timer } = createOffers();
+  setDemand(first, 1, 100);
   await timer.advance(50);
-  wish(second, 1, 60);
-  expect(all.assign(room)).toBe(first);
+  setDemand(second, 1, 60);
+  expect(offers.assign(free)).toBe(first);
 });
 
 test('an offer stays open until it is used', () => {
-  const { all, wish } = turns();
-  wish(first, 1, 50);
-  const offered = all.assign(room);
-  wish(second, 0, 10);
-  const standing = all.assign(room);
-  all.consumeOffer(first);
-  expect([offered, standing, all.assign(room)]).toEqual([first, first, second]);
+  const { offers, setDemand } = createOffers();
+  setDemand(first, 1, 50);
+  const offered = offers.assign(free);
+  setDemand(second, 0, 10);
+  const stillOffered = offers.assign(free);
+  offers.consumeOffer(first);
+  expect([offered, stillOffered, offers.assign(free)]).toEqual([first, first, second]);
 });
 
 test('an offer that expires unused goes to the next entry', async () => {
-  const { all, wish, timer } = turns();
-  wish(first, 1, 50);
-  wish(second, 1, 500);
-  all.assign(room);
+  const { offers, setDemand, timer } = createOffers();
+  setDemand(first, 1, 50);
+  setDemand(second, 1, 500);
+  offers.assign(free);
   await timer.advance(8);
-  expect(all.assign(room)).toBe(second);
+  expect(offers.assign(free)).toBe(second);
 });
 
 test('an entry without demand loses its offer', () => {
-  const { all, wish } = turns();
-  wish(first, 1, 50);
-  wish(second, 1, 500);
-  all.assign(room);
-  all.setDemand(first, create(DemandSchema));
-  expect(all.assign(room)).toBe(second);
+  const { offers, setDemand } = createOffers();
+  setDemand(first, 1, 50);
+  setDemand(second, 1, 500);
+  offers.assign(free);
+  offers.setDemand(first, create(DemandSchema));
+  expect(offers.assign(free)).toBe(second);
 });
 
 test('capacity that is too small for each waiting entry is offered to nobody', () => {
-  const { all, wish } = turns();
-  wish(first, 1, 50, 9_000);
-  expect(all.assign(room)).toBe('nobody');
+  const { offers, setDemand } = createOffers();
+  setDemand(first, 1, 50, 9_000);
+  expect(offers.assign(free)).toBe('nobody');
 });
 
 test('a smaller demand goes first when the most urgent one does not fit', () => {
-  const { all, wish } = turns();
-  wish(first, 0, 50, 9_000);
-  wish(second, 5, 900);
-  expect(all.assign(room)).toBe(second);
+  const { offers, setDemand } = createOffers();
+  setDemand(first, 0, 50, 9_000);
+  setDemand(second, 5, 900);
+  expect(offers.assign(free)).toBe(second);
 });
--- a/test/runs/CapacityReports.test.ts
+++ b/test/runs/CapacityReports.test.ts
@@ -9,7 +9,7 @@
 import BatchCase from '../support/BatchCase';
 import RunCase from '../support/RunCase';
 
-async function roomReports(batchCase: BatchCase, work: () => void): Promise<number> {
+async function countReports(batchCase: BatchCase, work: () => void): Promise<number> {
   batchCase.network.resetCounts();
   work();
   await batchCase.timer.advance(90);
@@ -18,12 +18,12 @@
 
 test('while capacity is plentiful an entry gets no reports of what its own runs occupy', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
-  expect(await roomReports(batchCase, () => batchCase.submit('a', { ms: 500 }))).toBe(0);
+  expect(await countReports(batchCase, () => batchCase.submit('a', { ms: 500 }))).toBe(0);
 });
 
 test('an entry gets a report of capacity that the runs of another occupy', async () => {
   const batchCase = await BatchCase.open({ entries: 2, sidecars: 1 });
-  expect(await roomReports(batchCase, () => batchCase.submit('a', { ms: 500 }))).toBe(1);
+  expect(await countReports(batchCase, () => batchCase.submit('a', { ms: 500 }))).toBe(1);
 });
 
 test('scarce capacity is offered to the entry whose batch must start first', async () => {
@@ -55,34 +55,44 @@
   const batchCase = await BatchCase.open({ entries: 2, sidecars: 1 });
   const needs = Resources.of({ cpuMilli: 100, memoryMb: 4_000 });
   const wide = { ...batchCase.stepOf(1, 500), needs };
-  expect(await roomReports(batchCase, () => batchCase.submit('a', { steps: [wide] }))).toBe(1);
+  expect(await countReports(batchCase, () => batchCase.submit('a', { steps: [wide] }))).toBe(1);
 });
 
 /** An entry link that records how many cores are reported to it as free. */
-function ownerOf() {
-  const told: (number | undefined)[] = [];
-  const send = ({ value }: { value: Room }) => told.push(value.free?.cpuMilli);
+function recordingLink() {
+  const reported: (number | undefined)[] = [];
+  const send = ({ value }: { value: Room }) => reported.push(value.free?.cpuMilli);
   return {
-    told,
-    owner: { newestOrder: 0, link: { send }, flushEnds: () => undefined } as unknown as EntryLink,
+    reported,
+    entryLink: {
+      newestOrder: 0,
+      link: { send },
+      flushEnds: () => undefined,
+    } as unknown as EntryLink,
   };
 }
 
 // Each offer that expired unused cost a second message, which withdrew it.
 test('an expired offer goes to the next entry without being withdrawn', async () => {
   const { runCase } = await RunCase.open();
-  const [first, second] = [ownerOf(), ownerOf()];
-  const turns = CapacityOffers.create(runCase.timer);
-  const owners = [first.owner, second.owner];
+  const [first, second] = [recordingLink(), recordingLink()];
+  const offers = CapacityOffers.create(runCase.timer);
+  const entryLinks = [first.entryLink, second.entryLink];
   const log = { info: () => undefined, warn: () => undefined };
-  const reports = CapacityReports.create(runCase.timer, runCase.host, turns, () => owners, log);
-  const wish = (owner: EntryLink, slackMs: number): void => {
+  const reports = CapacityReports.create(
+    runCase.timer,
+    runCase.host,
+    offers,
+    () => entryLinks,
+    log,
+  );
+  const setDemand = (entryLink: EntryLink, slackMs: number): void => {
     const needs = create(AmountSchema, { cpuMilli: 4_000 });
-    turns.setDemand(owner, create(DemandSchema, { waiting: true, rank: 1, slackMs, needs }));
+    offers.setDemand(entryLink, create(DemandSchema, { waiting: true, rank: 1, slackMs, needs }));
   };
-  wish(first.owner, 10);
-  wish(second.owner, 20);
+  setDemand(first.entryLink, 10);
+  setDemand(second.entryLink, 20);
   reports.scheduleUpdate();
   await runCase.timer.advance(12);
-  expect([first.told, second.told]).toEqual([[16_000], [0, 16_000]]);
+  expect([first.reported, second.reported]).toEqual([[16_000], [0, 16_000]]);
 });
--- a/test/runs/EndedIncarnations.test.ts
+++ b/test/runs/EndedIncarnations.test.ts
@@ -6,8 +6,14 @@
   ended.add({ id: 'a', born: 7 }, 100);
   ended.add({ id: 'a', born: 5 }, 90);
   ended.add({ id: 'b' });
-  const lives = [{ id: 'a', born: 6 }, { id: 'a', born: 8 }, { id: 'a' }, { id: 'b' }, { id: 'c' }];
-  expect([lives.map((life) => ended.has(life)), ended.tokenOf('a')]).toEqual([
+  const incarnations = [
+    { id: 'a', born: 6 },
+    { id: 'a', born: 8 },
+    { id: 'a' },
+    { id: 'b' },
+    { id: 'c' },
+  ];
+  expect([incarnations.map((incarnation) => ended.has(incarnation)), ended.tokenOf('a')]).toEqual([
     [true, false, true, true, false],
     100,
   ]);
--- a/test/runs/incarnations.test.ts
+++ b/test/runs/incarnations.test.ts
@@ -20,12 +20,12 @@
 
 /** Three ends are processed first, so that the end numbers of the next incarnation are below them. */
 async function withEnds() {
-  const parts = await open();
-  parts.runCase.startTasks('before', 3, { spec: '20' });
-  await parts.runCase.timer.advance(150);
-  parts.runCase.host.handleHeartbeat(parts.backend.report());
-  parts.runCase.ends.length = 0;
-  return parts;
+  const fixture = await open();
+  fixture.runCase.startTasks('before', 3, { spec: '20' });
+  await fixture.runCase.timer.advance(150);
+  fixture.runCase.host.handleHeartbeat(fixture.backend.report());
+  fixture.runCase.ends.length = 0;
+  return fixture;
 }
 
 test('runs of an incarnation under the same id are reported as they end there', async () => {
@@ -104,14 +104,14 @@
 /** Starts a task, and records what runs at the backend server when the end of the run is reported. */
 function watch(runCase: RunCase, backend: LeasedBackend): string[] {
   const seen: string[] = [];
-  const ended = (): unknown => seen.push(`over, ${backend.tasks.length} run`);
-  runCase.startTasks('a', 1, { spec: '700', onEnded: ended });
+  const onEnded = (): unknown => seen.push(`ended, ${backend.tasks.length} running`);
+  runCase.startTasks('a', 1, { spec: '700', onEnded });
   return seen;
 }
 
 test.each([
-  ['before the next life is known', 20],
-  ['after the next life is known', 90],
+  ['before the next incarnation is known', 20],
+  ['after the next incarnation is known', 90],
 ])(
   'a start that is executed late, %s, has ended only when nothing of it runs',
   async (_name, lateMs) => {
@@ -124,7 +124,7 @@
     const before = [...seen];
     await heartbeat();
     await runCase.timer.advance(200);
-    expect([before, seen, backend.tasks]).toEqual([[], ['over, 0 run'], []]);
+    expect([before, seen, backend.tasks]).toEqual([[], ['ended, 0 running'], []]);
   },
 );
 
@@ -136,7 +136,7 @@
   const [ran] = backend.tasks;
   await heartbeat();
   await runCase.timer.advance(100);
-  expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['over, 0 run'], []]);
+  expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['ended, 0 running'], []]);
 });
 
 // The run was presumed to have ended when the lease that its start carried had expired. The next incarnation
@@ -165,7 +165,7 @@
   await runCase.timer.advance(4_800);
   const before = [...seen];
   await runCase.timer.advance(300);
-  expect([before, seen, runCase.host.size]).toEqual([[], ['over, 0 run'], 0]);
+  expect([before, seen, runCase.host.size]).toEqual([[], ['ended, 0 running'], 0]);
 });
 
 test('an unanswered start ends in time when its job was cancelled meanwhile', async () => {
@@ -180,7 +180,7 @@
   await heartbeat();
   await runCase.timer.advance(100);
   const end = [runCase.host.hasRunsOf(runCase.owner), seen, backend.tasks];
-  expect([hasRuns, end]).toEqual([true, [false, ['over, 0 run'], []]]);
+  expect([hasRuns, end]).toEqual([true, [false, ['ended, 0 running'], []]]);
 });
 
 test('a sidecar that restarts beside a later incarnation is not fenced, and its predecessor is', async () => {
@@ -259,7 +259,7 @@
     throw new Error('a fault');
   };
   await runCase.timer.advance(1_500);
-  expect(seen).toEqual(['over, 0 run']);
+  expect(seen).toEqual(['ended, 0 running']);
 });
 
 // Its heartbeats were ignored as those of an ended incarnation.
@@ -267,9 +267,9 @@
   const { runCase, backend } = await RunCase.open();
   const seen = watch(runCase, backend);
   await runCase.timer.advance(100);
-  const { poll: hold } = backend;
+  const { poll } = backend;
   backend.poll = () => {
-    backend.poll = hold;
+    backend.poll = poll;
     throw new Error('a fault');
   };
   await runCase.timer.advance(200);
@@ -277,7 +277,7 @@
   await runCase.timer.advance(100);
   runCase.startTasks('b', 1, { spec: '20' });
   await runCase.timer.advance(100);
-  expect([seen, runCase.ends]).toEqual([['over, 0 run'], ['b.0 DONE']]);
+  expect([seen, runCase.ends]).toEqual([['ended, 0 running'], ['b.0 DONE']]);
 });
 
 test('a run has ended only when nothing of it runs, also when another backend server appears at another address', async () => {
@@ -286,7 +286,7 @@
   await runCase.timer.advance(100);
   runCase.host.handleHeartbeat(runCase.addIncarnation('b2').report({ address: '127.0.0.1:2' }));
   await runCase.timer.advance(1_500);
-  expect(seen).toEqual(['over, 0 run']);
+  expect(seen).toEqual(['ended, 0 running']);
 });
 
 /** Longer than any report of a start time can be delayed, ms. */
@@ -300,15 +300,15 @@
   await heartbeat();
   backend.restart(SET_BACK_MS);
   const seen: string[] = [];
-  const ended = (): unknown => seen.push(`over, ${backend.tasks.length} run`);
-  runCase.startTasks('a', 1, { spec: '5000', onEnded: ended });
+  const onEnded = (): unknown => seen.push(`ended, ${backend.tasks.length} running`);
+  runCase.startTasks('a', 1, { spec: '5000', onEnded });
   await runCase.timer.advance(10);
   const [ran] = backend.tasks;
   // The lease of the start is by the clock of the previous incarnation.
   await runCase.timer.advance(950);
   await heartbeat();
   await runCase.timer.advance(200);
-  expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['over, 0 run'], []]);
+  expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['ended, 0 running'], []]);
 });
 
 test('an incarnation whose clock was set back accepts tasks once an answer has shown that it is there', async () => {
--- a/test/runs/incarnationsUnderLoad.test.ts
+++ b/test/runs/incarnationsUnderLoad.test.ts
@@ -4,22 +4,22 @@
 const BORN = 1_780_000_000_000;
 
 /** Delay of the first heartbeat after a restart, ms. */
-const NOTICED_MS = 15;
+const HEARTBEAT_DELAY_MS = 15;
 
 /** Restarts or crashes while the load lasts. */
 const ROUNDS = 10;
 
 /** Two entries and two backend servers that restart under the same ids, one after the other, under load. */
-async function load(batches: number, between: (batchCase: BatchCase, round: number) => void) {
+async function underLoad(batches: number, perRound: (batchCase: BatchCase, round: number) => void) {
   const batchCase = await BatchCase.open({ firstStartedAt: BORN });
   const { timer } = batchCase;
   const callers: ReturnType<BatchCase['submit']>[] = [];
   for (let round = 0; round < ROUNDS; round += 1) {
-    for (let one = 0; one < batches; one += 1) {
-      callers.push(batchCase.submit(`${round}-${one}`, { entry: one % 2, tasks: 2, ms: 60 }));
+    for (let i = 0; i < batches; i += 1) {
+      callers.push(batchCase.submit(`${round}-${i}`, { entry: i % 2, tasks: 2, ms: 60 }));
     }
     await timer.advance(20);
-    between(batchCase, round);
+    perRound(batchCase, round);
     await timer.advance(160);
   }
   await timer.advance(3_000);
@@ -28,16 +28,16 @@
 
 function restart(batchCase: BatchCase, number: number): void {
   batchCase.backends[number]!.restart();
-  batchCase.timer.after(NOTICED_MS, () => batchCase.sendHeartbeat(number));
+  batchCase.timer.after(HEARTBEAT_DELAY_MS, () => batchCase.sendHeartbeat(number));
 }
 
 test('batches are completed while backend servers restart under the same ids', async () => {
-  const { batchCase, answers } = await load(4, (each, round) => restart(each, round % 2));
+  const { batchCase, answers } = await underLoad(4, (each, round) => restart(each, round % 2));
   expect([new Set(answers), batchCase.maxConcurrentRuns]).toEqual([new Set(['completed']), 1]);
 });
 
 test('no task runs twice when unanswered starts are executed by the next incarnation', async () => {
-  const { batchCase, answers } = await load(1, (each, round) => {
+  const { batchCase, answers } = await underLoad(1, (each, round) => {
     const number = round % 2;
     for (const lateMs of [5, 10, 30, 120, 200]) {
       each.backends[number]!.fail({ call: 'start', how: 'late', lateMs });
@@ -49,7 +49,7 @@
 });
 
 test('a backend server that crashes and restarts repeatedly under its id serves whenever it is up', async () => {
-  const { batchCase, answers } = await load(4, (each, round) => {
+  const { batchCase, answers } = await underLoad(4, (each, round) => {
     each.backends[round % 2]!.crash();
     each.timer.after(100, () => restart(each, round % 2));
   });
--- a/test/runs/lateStarts.test.ts
+++ b/test/runs/lateStarts.test.ts
@@ -18,7 +18,7 @@
   expect([runCase.ends, backend.starts]).toEqual([['a.0 LOST'], []]);
 });
 
-const stranger = { batch: 'x', step: 0, index: 0, attempt: 1 };
+const unknownRun = { batch: 'x', step: 0, index: 0, attempt: 1 };
 
 /** The fencing token of the current sidecar: its backend server's clock at the first heartbeat. */
 const TOKEN = 50_000;
@@ -27,7 +27,7 @@
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
-  await backend.start(stranger, '5000', backend.report().clockMs + 500, TOKEN - 1, 100);
+  await backend.start(unknownRun, '5000', backend.report().clockMs + 500, TOKEN - 1, 100);
   expect(backend.tasks).toEqual(['a.0.0']);
 });
 
@@ -35,7 +35,7 @@
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
-  await backend.start(stranger, '5000', backend.report().clockMs + 100, TOKEN, 100);
+  await backend.start(unknownRun, '5000', backend.report().clockMs + 100, TOKEN, 100);
   const started = backend.tasks;
   await runCase.timer.advance(300);
   expect([started, backend.tasks]).toEqual([['a.0.0', 'x.0.0'], ['a.0.0']]);
@@ -43,7 +43,7 @@
 
 test('a task that starts late at an idle backend server ends with the lease that its start carried', async () => {
   const { runCase, backend } = await RunCase.open();
-  await backend.start(stranger, '5000', backend.report().clockMs + 100, TOKEN, 100);
+  await backend.start(unknownRun, '5000', backend.report().clockMs + 100, TOKEN, 100);
   await runCase.timer.advance(200);
   expect(backend.tasks).toEqual([]);
 });
@@ -51,7 +51,9 @@
 /**
  * Loses the answers to a job's starts, applies the event, and returns the running tasks 1.5 s and 5 s later.
  */
-async function afterLateStarts(happen: (batchCase: BatchCase, caller: AbortController) => void) {
+async function afterLateStarts(
+  applyEvent: (batchCase: BatchCase, caller: AbortController) => void,
+) {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
   const { timer } = batchCase;
   const [backend] = batchCase.backends;
@@ -61,11 +63,11 @@
   }
   const { gone } = batchCase.submit('a', { tasks: 3, ms: 20_000 });
   await timer.advance(30);
-  happen(batchCase, gone);
+  applyEvent(batchCase, gone);
   await timer.advance(1_500);
-  const soon = batchCase.running;
+  const early = batchCase.running;
   await timer.advance(3_500);
-  return [soon, batchCase.running];
+  return [early, batchCase.running];
 }
 
 test('late starts of a cancelled job do not run on', async () => {
--- a/test/runs/pulses.test.ts
+++ b/test/runs/pulses.test.ts
@@ -33,8 +33,12 @@
     await batchCase.timer.advance(90);
   }
   const ends = new Set(sent.ends);
-  const alone = sent.pulses.filter((at) => !ends.has(at));
-  expect([alone.length <= 2, longestGap(sent.pulses) <= 350, ends.size]).toEqual([true, true, 40]);
+  const separate = sent.pulses.filter((at) => !ends.has(at));
+  expect([separate.length <= 2, longestGap(sent.pulses) <= 350, ends.size]).toEqual([
+    true,
+    true,
+    40,
+  ]);
 });
 
 test('pulses keep their interval when nothing else is sent, and after a piggybacked one', async () => {
--- a/test/runs/reportedDurationRatios.test.ts
+++ b/test/runs/reportedDurationRatios.test.ts
@@ -11,22 +11,22 @@
   const work = (run: RunId) => ({ ms: backendOf(run) === 0 ? 200 : 100, fails: false });
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 5, work });
   for (let round = 0; round < 14; round += 1) {
-    for (let one = 0; one < 5; one += 1) batchCase.submit(`${round}.${one}`, { ms: 100 });
+    for (let i = 0; i < 5; i += 1) batchCase.submit(`${round}.${i}`, { ms: 100 });
     await batchCase.timer.advance(250);
   }
   return batchCase;
 }
 
 /** The duration ratios that an entry applies, in tenths, by sidecar. */
-function speedsOf(batchCase: BatchCase, entry = 0): Record<string, number> {
-  const speeds = [...batchCase.entries[entry]!.speeds];
+function ratiosOf(batchCase: BatchCase, entry = 0): Record<string, number> {
+  const ratios = [...batchCase.entries[entry]!.speeds];
   return Object.fromEntries(
-    speeds.map(([{ instance }, times]) => [instance, Math.round(times * 10)]),
+    ratios.map(([{ instance }, ratio]) => [instance, Math.round(ratio * 10)]),
   );
 }
 
 test('an entry applies the duration ratios that sidecars report', async () => {
-  expect(speedsOf(await learn())).toEqual({ s0: 16 });
+  expect(ratiosOf(await learn())).toEqual({ s0: 16 });
 });
 
 test('an entry that has just started receives the duration ratios', async () => {
@@ -36,7 +36,7 @@
   await batchCase.timer.advance(1_000);
   batchCase.submit('later', { entry: 1 });
   await batchCase.timer.advance(20);
-  expect(speedsOf(batchCase, 1)).toEqual({ s0: 16 });
+  expect(ratiosOf(batchCase, 1)).toEqual({ s0: 16 });
 });
 
 test('the duration ratio is kept when its sidecar restarts', async () => {
@@ -46,5 +46,5 @@
   await batchCase.timer.advance(1_000);
   batchCase.submit('later');
   await batchCase.timer.advance(20);
-  expect(speedsOf(batchCase)).toEqual({ s0: 16 });
+  expect(ratiosOf(batchCase)).toEqual({ s0: 16 });
 });
--- a/test/runs/stoppedRuns.test.ts
+++ b/test/runs/stoppedRuns.test.ts
@@ -3,27 +3,27 @@
 import RunCase from '../support/RunCase';
 
 /** What sidecars log of the runs that have ended, after an event at a batch's entry or caller. */
-async function noteOfStop(happen: (batchCase: BatchCase, caller: AbortController) => void) {
-  const notes: string[] = [];
+async function logOfStop(applyEvent: (batchCase: BatchCase, caller: AbortController) => void) {
+  const lines: string[] = [];
   const batchCase = await BatchCase.open({
     sidecars: 1,
     onLog: (message, { entry, incarnation, outcome, reason, stopCause, stopMs }) => {
       if (message === 'a run is over' && outcome === 'lost')
-        notes.push(`${entry} ${incarnation}: ${stopCause}, after ${stopMs} ms ${reason}`);
+        lines.push(`${entry} ${incarnation}: ${stopCause}, after ${stopMs} ms ${reason}`);
     },
   });
   const { gone } = batchCase.submit('a', { ms: 5_000 });
   await batchCase.timer.advance(600);
-  happen(batchCase, gone);
+  applyEvent(batchCase, gone);
   await batchCase.timer.advance(1_300);
-  return [...notes, ...batchCase.sidecars[0]!.stops];
+  return [...lines, ...batchCase.sidecars[0]!.stops];
 }
 
 test('the log record of a stopped run has its entry, the cause of the stop and how long that took', async () => {
   expect({
-    asked: await noteOfStop((_batchCase, caller) => caller.abort()),
-    silent: await noteOfStop(({ network }) => network.blackhole('e0', 's0')),
-    ended: await noteOfStop(({ network }) => network.kill('e0')),
+    asked: await logOfStop((_batchCase, caller) => caller.abort()),
+    silent: await logOfStop(({ network }) => network.blackhole('e0', 's0')),
+    ended: await logOfStop(({ network }) => network.kill('e0')),
   }).toMatchInlineSnapshot(`
     {
       "asked": [
@@ -58,10 +58,12 @@
   await runCase.timer.advance(100);
   runCase.startTasks('a', 1, { owner: { isConfirmed: true, silentMs: 0 } });
   await runCase.timer.advance(100);
-  const notes = runCase.logRecords.filter(({ message }) => String(message).startsWith('a task is'));
-  expect({ stops, notes }).toMatchInlineSnapshot(`
+  const records = runCase.logRecords.filter(({ message }) =>
+    String(message).startsWith('a task is'),
+  );
+  expect({ stops, records }).toMatchInlineSnapshot(`
     {
-      "notes": [
+      "records": [
         {
           "attempt": 1,
           "index": 0,
--- a/test/sharing/predictQueueDelayMs.test.ts
+++ b/test/sharing/predictQueueDelayMs.test.ts
@@ -25,9 +25,9 @@
 });
 
 test('the loads of entries are added, an old report with less weight', () => {
-  const pooled = combineLoads([
+  const combined = combineLoads([
     { load: { levels: [level(1, 1_000, 400)] }, weight: 1 },
     { load: { levels: [level(1, 8_000, 800), level(3, 80, 8)] }, weight: 0.25 },
   ]);
-  expect(pooled).toEqual({ levels: [level(1, 3_000, 600), level(3, 20, 2)] });
+  expect(combined).toEqual({ levels: [level(1, 3_000, 600), level(3, 20, 2)] });
 });
