--- a/src/placement/DurationRatioEstimator.ts
+++ b/src/placement/DurationRatioEstimator.ts
@@ -1,12 +1,12 @@
 /**
- * Estimates how long work takes at one backend server against its estimates, from the runs completed there.
+ * Estimates the ratio of actual to estimated duration at one backend server, from the runs completed there.
  * This is for fleets of different machines, on some of which the same task takes two or three times as long.
  *
- * The estimate is the interquartile mean of the logarithms of duration over estimate, one value for each batch:
- * a task that takes many times its estimate says nothing about the machine, and the tasks of one batch share
- * the error of its estimate. While there are few batches, it is shrunk towards 1, which is what the estimates
- * assume, by the same amount however far it is: most machines are alike and some differ by much, so a small
- * difference is chance and a large one is not.
+ * The result is the interquartile mean of the ratios' logarithms, one value for each batch: a task that takes
+ * many times its estimate says nothing about the machine, and the tasks of one batch share the error of its
+ * estimate. While there are few batches, the result is shrunk towards 1, which is what the estimates assume, by
+ * the same amount however far it is: most machines are alike and some differ by much, so a small difference is
+ * chance and a large one is not.
  */
 export default class DurationRatioEstimator {
   /** The logarithms of duration over estimate of the tasks completed here, for each of the newest batches. */
--- a/src/placement/FleetDurationRatios.ts
+++ b/src/placement/FleetDurationRatios.ts
@@ -66,9 +66,8 @@
 const MIN_BACKENDS = 3;
 
 /**
- * Logarithm of the factor by which one has to differ before any counts as different: latency targets of 1.6
- * times the work tolerate that, with the 15% by which tasks of a batch differ, so a smaller one makes nothing
- * late.
+ * Logarithm of the factor by which one has to differ before any counts as different: latency targets of 1.6 times the
+ * work tolerate that, with the 15% by which tasks of a batch differ, so a smaller one makes nothing late.
  */
 const MIN_LOG_DIFFERENCE = Math.log(1.4);
 
--- a/src/placement/placementScore.ts
+++ b/src/placement/placementScore.ts
@@ -15,12 +15,11 @@
 /**
  * Scores a backend server by how long the task takes there, as a share of a backend server's capacity.
  *
- * It is for fleets in which some machines take two or three times as long. The batch should first of all meet
- * its latency target, and otherwise end before it expires: work whose caller waits for long anyway tolerates a
- * slow machine no better than short work does, whose target leaves some time to spare. Among backend servers
- * that are alike in that, fast ones are preferred while they have enough free capacity. When that gets scarce,
- * tasks that meet their target on a slow machine go there, so that the fast ones are left for those that do
- * not, and none is idle.
+ * It is for fleets in which some machines take two or three times as long. The batch should first of all meet its
+ * latency target, and otherwise end before it expires: work whose caller waits for long anyway tolerates a slow
+ * machine no better than short work does, whose target leaves some time to spare. Among backend servers that are alike
+ * in that, fast ones are preferred while they have enough free capacity. When that gets scarce, tasks that meet their
+ * target on a slow machine go there, so that the fast ones are left for those that do not, and none is idle.
  */
 export default function placementScore(outlook: PlacementOutlook): number {
   const octaves = Math.log2(outlook.durationRatio);
@@ -37,7 +36,5 @@
 /** Score of a machine that is twice as fast: as much as a whole machine's free capacity. */
 const OCTAVE_WEIGHT = 1;
 
-/**
- * Score of meeting the target: more than any machine's speed and capacity, less than avoiding another failure.
- */
+/** Score of meeting the target: more than any machine's speed and capacity, less than avoiding another failure. */
 const TIER_WEIGHT = 16;
--- a/src/placement/quantizedRatio.ts
+++ b/src/placement/quantizedRatio.ts
@@ -20,9 +20,7 @@
 /** Steps per octave. */
 const STEPS_PER_OCTAVE = 10;
 
-/**
- * Distance from the estimates before anything is reported, octaves: 15%, up to which machines count as alike.
- */
+/** Distance from the estimates before anything is reported, octaves: 15%, up to which machines count as alike. */
 const MIN_FIRST_OCTAVES = 0.2;
 
 /** Change that causes a new report, octaves: 11%, less than the differences that affect decisions. */
--- a/src/runs/ActiveRuns.ts
+++ b/src/runs/ActiveRuns.ts
@@ -156,8 +156,7 @@
   }
 
   /**
-   * Ends all runs, which are gone with the backend server; `roleOf` gives each run's role in the crash, if it
-   * was one.
+   * Ends all runs, which are gone with the backend server; `roleOf` gives each run's role in the crash, if it was one.
    */
   finishAllAsLost(reason: string, roleOf?: (state: RunState) => CrashRole): void {
     [...this.runs.values()].forEach((state) =>
--- a/src/runs/AnswerTimeouts.ts
+++ b/src/runs/AnswerTimeouts.ts
@@ -1,9 +1,8 @@
 /**
- * Computes how long to wait for an answer of the backend server before a call is sent again. On the same
- * machine an answer takes a millisecond or two, so a long timeout after a lost answer leaves a task idle and
- * its capacity occupied. The estimate is that of TCP's retransmission timer (RFC 6298): mean and mean
- * deviation, and the timeout doubles with each retry, since otherwise a slow answer would always be treated as
- * lost.
+ * Computes how long to wait for an answer of the backend server before a call is sent again. On the same machine an
+ * answer takes a millisecond or two, so a long timeout after a lost answer leaves a task idle and its capacity
+ * occupied. The estimate is that of TCP's retransmission timer (RFC 6298): mean and mean deviation, and the timeout
+ * doubles with each retry, since otherwise a slow answer would always be treated as lost.
  */
 export default class AnswerTimeouts {
   private meanMs = INITIAL_MEAN_MS;
--- a/src/runs/BackendClock.ts
+++ b/src/runs/BackendClock.ts
@@ -39,8 +39,5 @@
   }
 }
 
-/**
- * The user documentation allows a backend server's clock to be 2% slow; another 1% allows for a fast clock
- * here.
- */
+/** The user documentation allows a backend server's clock to be 2% slow; another 1% allows for a fast clock here. */
 const MIN_CLOCK_RATE = 0.97;
--- a/src/runs/BackendHealth.ts
+++ b/src/runs/BackendHealth.ts
@@ -6,10 +6,9 @@
  * Measures how well a backend server works: how long its runs take against their estimates, and how many fail.
  * It detects backend servers that become slow, hang or fail everything while their heartbeats stay good.
  *
- * Slowness is the time that runs have taken divided by the work that they have completed. Both decay
- * exponentially within some hundred milliseconds in which something runs. That shows a slow or hanging backend
- * server before any run has ended, and the errors of single estimates, some 40%, average out over the ten runs
- * that it usually has.
+ * Slowness is the time that runs have taken divided by the work that they have completed. Both decay exponentially
+ * within some hundred milliseconds in which something runs. That shows a slow or hanging backend server before any run
+ * has ended, and the errors of single estimates, some 40%, average out over the ten runs that it usually has.
  *
  * While nothing runs, the value is kept: otherwise a slow backend server without work would look healthy after
  * a second and be filled again. Its weight is reduced, so that two or three probes show a recovery.
--- a/src/runs/BackendIncarnation.ts
+++ b/src/runs/BackendIncarnation.ts
@@ -21,17 +21,14 @@
 
 /**
  * One incarnation of a backend server, from its first heartbeat to its end. Nothing else calls that backend
- * server, so it alone decides what is started there: capacity is allocated to a run before its start is sent, and
- * freed when the run is known to have ended.
+ * server, so it alone decides what is started there: capacity is allocated to a run before its start is sent,
+ * and freed when the run is known to have ended.
  */
 export default class BackendIncarnation {
   /** Start requests that wait for an earlier run of the same task to end here. */
   private readonly successors = new Map<string, RunRequest>();
 
-  /**
-   * Start requests that arrived when capacity was short, oldest first: entries decide independently of each
-   * other.
-   */
+  /** Start requests that arrived when capacity was short, oldest first: entries decide independently of each other. */
   private waitingRequests: RunRequest[] = [];
 
   private readonly liveness: BackendLiveness;
@@ -131,8 +128,7 @@
   handleHeartbeat(heartbeat: BackendHeartbeat): void {
     if (heartbeat.sequence < this.latestHeartbeat.sequence) return;
     const previous = this.latestHeartbeat;
-    // A backend server that shuts down sends no more heartbeats, so the announcement came from an earlier
-    // incarnation.
+    // A backend server that shuts down sends no more heartbeats, so the announcement came from an earlier incarnation.
     const isBack = this.isLeaving && heartbeat.born !== undefined && !heartbeat.draining;
     if (isBack) this.isLeaving = false;
     this.latestHeartbeat = { ...heartbeat, draining: previous.draining || heartbeat.draining };
@@ -223,8 +219,7 @@
     const running = this.activeRuns.size;
     log.warn('the backend server is gone', { backend: id, born, reason, how, isCrash, running });
     const { token } = this.lease;
-    // The next incarnation measures leases by a clock of its own, so runs stay in doubt until it has been
-    // cleared.
+    // The next incarnation measures leases by a clock of its own, so runs stay in doubt until it has been cleared.
     const mayComeBack = how === 'gone' || how === 'reborn';
     const resolvedInMs = mayComeBack ? runLimits.nextIncarnationMs : this.lease.msUntilExpired;
     const inDoubt = this.activeRuns
@@ -300,9 +295,7 @@
     });
   }
 
-  /**
-   * The same task was requested again by another entry: the caller of the earlier run has turned to that entry.
-   */
+  /** The same task was requested again by another entry: the caller of the earlier run has turned to that entry. */
   private replaceRun(key: string, request: RunRequest): void {
     const waiting = this.successors.get(key);
     if (waiting) refuse(waiting, 'the same task was asked for again');
--- a/src/runs/BackendLiveness.ts
+++ b/src/runs/BackendLiveness.ts
@@ -31,8 +31,8 @@
   }
 
   /** Create it before the first call. */
-  static create(timer: TimerService, told: LivenessHandlers): BackendLiveness {
-    return new BackendLiveness(timer, told);
+  static create(timer: TimerService, handlers: LivenessHandlers): BackendLiveness {
+    return new BackendLiveness(timer, handlers);
   }
 
   /** Whether the incarnation is known to have ended. */
@@ -63,9 +63,7 @@
     if (wasDoubted) this.handlers.onResponsivenessChange();
   }
 
-  /**
-   * Records a failed call; returns whether this incarnation has ended, which it does if the failure proves it.
-   */
+  /** Records a failed call; returns whether this incarnation has ended, which it does if the failure proves it. */
   endsWithFailure(failure: BackendRunFailure): boolean {
     if (this.isEnded) return true;
     if (failure.kind === 'replaced' || failure.kind === 'reborn') {
@@ -93,14 +91,10 @@
   }
 }
 
-/**
- * Unanswered calls in a row after which nothing new is started on a backend server: a single answer may be
- * lost.
- */
+/** Unanswered calls in a row after which nothing new is started on a backend server: a single answer may be lost. */
 const UNRESPONSIVE_AFTER_CALLS = 2;
 
 /**
- * Refused connections in a row after which the backend server is gone: a single one could be a gap during a
- * restart.
+ * Refused connections in a row after which the backend server is gone: a single one could be a gap during a restart.
  */
 const GONE_AFTER_REFUSED_CONNECTIONS = 2;
--- a/src/runs/CapacityOffers.ts
+++ b/src/runs/CapacityOffers.ts
@@ -18,14 +18,13 @@
 interface Offer {
   readonly entryLink: EntryLink;
   readonly number: number;
-  readonly untilMs: number;
+  readonly expiresAt: number;
 }
 
 /**
- * Decides which entry may use scarce free capacity. When several entries wait and all learn of it at the same
- * time, all of them request it, all but one in vain, and the most urgent batch wins only by chance. So capacity
- * is offered to one entry at a time, the most urgent first. An offer that is not used within a round trip
- * expires.
+ * Decides which entry may use scarce free capacity. When several entries wait and all learn of it at the same time,
+ * all of them request it, all but one in vain, and the most urgent batch wins only by chance. So capacity is offered
+ * to one entry at a time, the most urgent first. An offer that is not used within a round trip expires.
  */
 export default class CapacityOffers {
   private readonly demands = new Map<EntryLink, EntryDemand>();
@@ -48,7 +47,7 @@
 
   /** When the open offer expires, by the timer service. */
   get offerExpiresAt(): number | undefined {
-    return this.offer?.untilMs;
+    return this.offer?.expiresAt;
   }
 
   /** Whether any entry waits for capacity here. */
@@ -83,7 +82,7 @@
     this.consumeOffer(entryLink);
   }
 
-  /** Which entry may use the free capacity now. `nobody`: it is too small for each waiting entry. */
+  /** Which entry may use the free capacity now. `anybody`: none waits. `nobody`: no waiting entry's demand fits. */
   assign(free: Resources): EntryLink | 'anybody' | 'nobody' {
     const now = this.timer.now();
     this.expireOffer(now);
@@ -95,12 +94,12 @@
     if (!best) return 'nobody';
     const [entryLink] = best;
     this.offerCount += 1;
-    this.offer = { entryLink, number: this.offerCount, untilMs: now + capacityOfferTimes.heldMs };
+    this.offer = { entryLink, number: this.offerCount, expiresAt: now + capacityOfferTimes.heldMs };
     return entryLink;
   }
 
   private expireOffer(now: number): void {
-    if (!this.offer || now < this.offer.untilMs) return;
+    if (!this.offer || now < this.offer.expiresAt) return;
     const { entryLink } = this.offer;
     const demand = this.demands.get(entryLink);
     if (demand)
--- a/src/runs/CapacityReports.ts
+++ b/src/runs/CapacityReports.ts
@@ -19,12 +19,11 @@
 }
 
 /**
- * Reports free capacity to the entries. An entry knows what its own runs occupy and free, so a report is only
- * about the runs of other entries: it is sent when the entry's view is wrong by more than about one task. An
- * entry that assumes too little reports its demand when it needs more, and gets offers; one that assumes too
- * much has a start request refused, and assumes none from then on. While entries wait for capacity, it is
- * reported only to the entry that is offered it. So reports cost little however many entries are linked, and
- * most when nothing waits.
+ * Reports free capacity to the entries. An entry knows what its own runs occupy and free, so a report is only about
+ * the runs of other entries: it is sent when the entry's view is wrong by more than about one task. An entry that
+ * assumes too little reports its demand when it needs more, and gets offers; one that assumes too much has a start
+ * request refused, and assumes none from then on. While entries wait for capacity, it is reported only to the entry
+ * that is offered it. So reports cost little however many entries are linked, and most when nothing waits.
  */
 export default class CapacityReports {
   private readonly sentReports = new Map<EntryLink, SentReport>();
@@ -76,9 +75,9 @@
 
   /** A start request was refused, after which the entry assumes that there is no free capacity. */
   handleRefusal(entryLink: EntryLink): void {
-    const before = this.sentReports.get(entryLink);
-    if (!before) return;
-    const room = { ...before.room, inTurns: true, free: noCapacity };
+    const previous = this.sentReports.get(entryLink);
+    if (!previous) return;
+    const room = { ...previous.room, inTurns: true, free: noCapacity };
     this.sentReports.set(entryLink, {
       room,
       allocated: this.backend.allocatedTo(entryLink),
@@ -130,8 +129,8 @@
 
   private sendIfWrong(entryLink: EntryLink, room: Room, isWrong: IsWrong, offer?: number): void {
     const allocated = this.backend.allocatedTo(entryLink);
-    const before = this.sentReports.get(entryLink);
-    if (before && !needsUpdate(room, before, allocated, isWrong)) return;
+    const previous = this.sentReports.get(entryLink);
+    if (previous && !needsUpdate(room, previous, allocated, isWrong)) return;
     const value = create(RoomSchema, { ...room, newestOrder: entryLink.newestOrder });
     this.sentReports.set(entryLink, { room: value, allocated, offer });
     // This report includes what ended runs have freed; sending those ends later would count it twice.
@@ -186,19 +185,19 @@
 /** Whether an entry with this last report, and these allocations now, needs a new report. */
 function needsUpdate(
   room: Room,
-  before: SentReport,
+  previous: SentReport,
   allocated: Resources,
   isWrong: IsWrong,
 ): boolean {
-  if (comparedFields.some((field) => room[field] !== before.room[field])) return true;
-  if (room.labels.join() !== before.room.labels.join()) return true;
+  if (comparedFields.some((field) => room[field] !== previous.room[field])) return true;
+  if (room.labels.join() !== previous.room.labels.join()) return true;
   const total = Resources.of(room.total ?? {});
-  const reportedTotal = Resources.of(before.room.total ?? {});
+  const reportedTotal = Resources.of(previous.room.total ?? {});
   const actual = Resources.of(room.free ?? {});
-  const reported = Resources.of(before.room.free ?? {});
+  const reported = Resources.of(previous.room.free ?? {});
   return resourceKinds.some((kind) => {
     if (total[kind] !== reportedTotal[kind]) return true;
-    const ownChange = before.room.inTurns ? 0 : before.allocated[kind] - allocated[kind];
+    const ownChange = previous.room.inTurns ? 0 : previous.allocated[kind] - allocated[kind];
     return isWrong(actual[kind], reported[kind] + ownChange, total[kind] * MAX_ERROR_SHARE);
   });
 }
--- a/src/runs/IncarnationClient.ts
+++ b/src/runs/IncarnationClient.ts
@@ -9,10 +9,9 @@
 import taskKey from './taskKey';
 
 /**
- * Client of one incarnation of a backend server. The next incarnation may have the same address and id, so the
- * start time in an answer is compared with that of this incarnation, and starts that the next one may still
- * execute are remembered. For an incarnation that does not report its start time nothing is remembered: its id
- * is unique.
+ * Client of one incarnation of a backend server. The next incarnation may have the same address and id, so the start
+ * time in an answer is compared with that of this incarnation, and starts that the next one may still execute are
+ * remembered. For an incarnation that does not report its start time nothing is remembered: its id is unique.
  */
 export default class IncarnationClient implements BackendRunClient {
   /** Sent starts without an answer, counted by task. */
--- a/src/runs/LocalBackend.ts
+++ b/src/runs/LocalBackend.ts
@@ -146,10 +146,7 @@
     this.opts.onChange();
   }
 
-  /**
-   * Sets whether operators have drained the availability zone: then no tasks are accepted, and active runs go
-   * on.
-   */
+  /** Sets whether operators have drained the availability zone: then no tasks are accepted, and active runs go on. */
   setZoneDrained(isDrained: boolean): void {
     this.isZoneDrained = isDrained;
     this.opts.onChange();
@@ -284,8 +281,7 @@
 }
 
 /**
- * Whether a heartbeat differs in fields that cannot change within an incarnation: it comes from a different
- * sender.
+ * Whether a heartbeat differs in fields that cannot change within an incarnation: it comes from a different sender.
  */
 function isForeign(heartbeat: BackendHeartbeat, known: BackendHeartbeat): boolean {
   return heartbeat.service !== known.service || heartbeat.address !== known.address;
--- a/src/runs/RunRequest.ts
+++ b/src/runs/RunRequest.ts
@@ -24,9 +24,6 @@
   readonly number: number;
   /** The entry that requested it; the runs of an owner are stopped together. */
   readonly owner: RunOwner;
-  /**
-   * Called once, when the run is known to have ended or will never start; with the stop request, if there was
-   * one.
-   */
+  /** Called once, when the run is known to have ended or will never start; with the stop request, if there was one. */
   readonly onEnded: (end: RunEnd, stop?: StopRequest) => void;
 }
--- a/test/placement/placementScore.test.ts
+++ b/test/placement/placementScore.test.ts
@@ -4,9 +4,7 @@
 const FAST = 0.75;
 const SLOW = 1.8;
 
-/**
- * Which of two machines scores higher for a batch of one task; `waitedMs` is how long it has already waited.
- */
+/** Which of two machines scores higher for a batch of one task; `waitedMs` is how long it has already waited. */
 function preferred(
   estimateMs: number,
   conservesFastBackends: boolean,
--- a/test/runs/BackendHealth.test.ts
+++ b/test/runs/BackendHealth.test.ts
@@ -98,10 +98,7 @@
   expect(health.slowness).toBeLessThan(2);
 });
 
-/**
- * The duration ratio after sixteen batches of one task of 300 ms that take this many times as long, two at a
- * time.
- */
+/** The duration ratio after sixteen batches of one task of 300 ms that take this many times as long, two at a time. */
 function ratioAfter(factor: number): number | undefined {
   const timer = ManualTimer.create();
   const health = BackendHealth.create(timer);
--- a/test/runs/BackendIncarnation.test.ts
+++ b/test/runs/BackendIncarnation.test.ts
@@ -165,12 +165,12 @@
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '500' });
   await runCase.timer.advance(10);
-  const hold = backend.poll.bind(backend);
+  const poll = backend.poll.bind(backend);
   let broken = 0;
   backend.poll = (...args) => {
     broken += 1;
-    const isOver = broken > 100;
-    return isOver ? hold(...args) : errAsync({ kind: 'unanswered', reason: 'reset' });
+    const hasRecovered = broken > 100;
+    return hasRecovered ? poll(...args) : errAsync({ kind: 'unanswered', reason: 'reset' });
   };
   await runCase.timer.advance(300);
   expect(broken).toBeLessThan(12);
--- a/test/runs/lateStarts.test.ts
+++ b/test/runs/lateStarts.test.ts
@@ -48,9 +48,7 @@
   expect(backend.tasks).toEqual([]);
 });
 
-/**
- * Loses the answers to a job's starts, applies the event, and returns the running tasks 1.5 s and 5 s later.
- */
+/** Loses the answers to a job's starts, applies the event, and returns the running tasks 1.5 s and 5 s later. */
 async function afterLateStarts(
   applyEvent: (batchCase: BatchCase, caller: AbortController) => void,
 ) {
--- a/test/runs/reportedDurationRatios.test.ts
+++ b/test/runs/reportedDurationRatios.test.ts
@@ -2,9 +2,7 @@
 import type RunId from '../../src/runs/RunId';
 import BatchCase from '../support/BatchCase';
 
-/**
- * Five backend servers, of which the first takes twice as long; runs batches of one task until that is known.
- */
+/** Five backend servers, of which the first takes twice as long; runs batches of one task until that is known. */
 async function learn(): Promise<BatchCase> {
   const backendOf = (run: RunId): number =>
     batchCase.backends.findIndex(({ starts }) => starts.at(-1) === run);
--- a/test/runs/silentEntries.test.ts
+++ b/test/runs/silentEntries.test.ts
@@ -36,8 +36,7 @@
   },
 );
 
-// After a pause of the sidecar the silence of its entries was measured anew, even if only its wall clock was
-// set.
+// After a pause of the sidecar the silence of its entries was measured anew, even if only its wall clock was set.
 test('setting the wall clock does not extend the runs of a silent entry', async () => {
   const batchCase = await openWithRun();
   const { timer } = batchCase;
