--- a/src/runs/BackendLiveness.ts
+++ b/src/runs/BackendLiveness.ts
@@ -56,11 +56,11 @@
 
   /** A call was answered. */
   recordAnswer(): void {
-    const wasDoubted = this.isUnresponsive;
+    const wasUnresponsive = this.isUnresponsive;
     this.refusedConnections = 0;
     this.unansweredCalls = 0;
     this.answeredAt = this.timer.now();
-    if (wasDoubted) this.handlers.onResponsivenessChange();
+    if (wasUnresponsive) this.handlers.onResponsivenessChange();
   }
 
   /** Records a failed call; returns whether this incarnation has ended, which it does if the failure proves it. */
--- a/src/runs/RunSidecar.ts
+++ b/src/runs/RunSidecar.ts
@@ -299,7 +299,7 @@
 
   private handlePause(gapMs: number): void {
     this.opts.log.warn(
-      'this process was paused: entries have to confirm again that they are alive',
+      'this process was held up: entries have to confirm again that they are alive',
       {
         gapMs,
         running: this.backend.size,
--- a/test/runs/incarnations.test.ts
+++ b/test/runs/incarnations.test.ts
@@ -102,7 +102,7 @@
 });
 
 /** Starts a task, and records what runs at the backend server when the end of the run is reported. */
-function watch(runCase: RunCase, backend: LeasedBackend): string[] {
+function startWatched(runCase: RunCase, backend: LeasedBackend): string[] {
   const seen: string[] = [];
   const onEnded = (): unknown => seen.push(`ended, ${backend.tasks.length} running`);
   runCase.startTasks('a', 1, { spec: '700', onEnded });
@@ -117,7 +117,7 @@
   async (_name, lateMs) => {
     const { runCase, backend, heartbeat } = await withEnds();
     backend.fail({ call: 'start', how: 'late', lateMs });
-    const seen = watch(runCase, backend);
+    const seen = startWatched(runCase, backend);
     await runCase.timer.advance(10);
     backend.restart();
     await runCase.timer.advance(30);
@@ -131,7 +131,7 @@
 test('a start answered by the next incarnation before that is known has ended only when nothing of it runs', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   backend.restart();
-  const seen = watch(runCase, backend);
+  const seen = startWatched(runCase, backend);
   await runCase.timer.advance(10);
   const [ran] = backend.tasks;
   await heartbeat();
@@ -159,7 +159,7 @@
 test('without a next incarnation an unanswered start has ended once no start can be executed that late', async () => {
   const { runCase, backend } = await withEnds();
   backend.fail({ call: 'start', how: 'lost' });
-  const seen = watch(runCase, backend);
+  const seen = startWatched(runCase, backend);
   await runCase.timer.advance(5);
   backend.crash();
   await runCase.timer.advance(4_800);
@@ -171,7 +171,7 @@
 test('an unanswered start ends in time when its job was cancelled meanwhile', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
   backend.fail({ call: 'start', how: 'late', lateMs: 20 });
-  const seen = watch(runCase, backend);
+  const seen = startWatched(runCase, backend);
   await runCase.timer.advance(10);
   backend.restart();
   await runCase.timer.advance(15);
@@ -253,7 +253,7 @@
 
 test('a run has ended only when nothing of it runs, also after an error in its sidecar', async () => {
   const { runCase, backend } = await RunCase.open();
-  const seen = watch(runCase, backend);
+  const seen = startWatched(runCase, backend);
   await runCase.timer.advance(100);
   backend.poll = () => {
     throw new Error('a fault');
@@ -265,7 +265,7 @@
 // Its heartbeats were ignored as those of an ended incarnation.
 test('a backend server that was abandoned after an error accepts tasks again after its next heartbeat', async () => {
   const { runCase, backend } = await RunCase.open();
-  const seen = watch(runCase, backend);
+  const seen = startWatched(runCase, backend);
   await runCase.timer.advance(100);
   const { poll } = backend;
   backend.poll = () => {
@@ -282,14 +282,14 @@
 
 test('a run has ended only when nothing of it runs, also when another backend server appears at another address', async () => {
   const { runCase, backend } = await RunCase.open();
-  const seen = watch(runCase, backend);
+  const seen = startWatched(runCase, backend);
   await runCase.timer.advance(100);
   runCase.host.handleHeartbeat(runCase.addIncarnation('b2').report({ address: '127.0.0.1:2' }));
   await runCase.timer.advance(1_500);
   expect(seen).toEqual(['ended, 0 running']);
 });
 
-/** Longer than any report of a start time can be delayed, ms. */
+/** How far the clock is set back, ms: longer than any report of a start time can be delayed. */
 const SET_BACK_MS = 100_000;
 
 // An incarnation with a start time before that of its predecessor was mistaken for an earlier one, since only
--- a/test/runs/reportedDurationRatios.test.ts
+++ b/test/runs/reportedDurationRatios.test.ts
@@ -3,7 +3,7 @@
 import BatchCase from '../support/BatchCase';
 
 /** Five backend servers, of which the first takes twice as long; runs batches of one task until that is known. */
-async function learn(): Promise<BatchCase> {
+async function learnRatios(): Promise<BatchCase> {
   const backendOf = (run: RunId): number =>
     batchCase.backends.findIndex(({ starts }) => starts.at(-1) === run);
   const work = (run: RunId) => ({ ms: backendOf(run) === 0 ? 200 : 100, fails: false });
@@ -24,11 +24,11 @@
 }
 
 test('an entry applies the duration ratios that sidecars report', async () => {
-  expect(ratiosOf(await learn())).toEqual({ s0: 16 });
+  expect(ratiosOf(await learnRatios())).toEqual({ s0: 16 });
 });
 
 test('an entry that has just started receives the duration ratios', async () => {
-  const batchCase = await learn();
+  const batchCase = await learnRatios();
   await batchCase.addEntry(1);
   batchCase.configure(1, 1);
   await batchCase.timer.advance(1_000);
@@ -38,7 +38,7 @@
 });
 
 test('the duration ratio is kept when its sidecar restarts', async () => {
-  const batchCase = await learn();
+  const batchCase = await learnRatios();
   batchCase.network.kill('s0');
   batchCase.restartSidecar(0);
   await batchCase.timer.advance(1_000);
