--- a/src/runs/ActiveRuns.ts
+++ b/src/runs/ActiveRuns.ts
@@ -8,31 +8,31 @@
 import type RunState from './RunState';
 import taskKey from './taskKey';
 
-interface HeldRunsOptions {
-  /** Told of each run that is over, by its key, after its owner was. */
-  readonly over: (key: string) => void;
-  /** Told how much further a run was seen to have come, in hundredths of its work. */
-  readonly progressed: (state: RunState, percent: number) => void;
+interface ActiveRunsOptions {
+  /** Called for each run that has ended, with its task key, after the run's owner was notified. */
+  readonly onEnded: (key: string) => void;
+  /** Called with the progress that a run has made since the last poll, in percent of its work. */
+  readonly onProgress: (state: RunState, percent: number) => void;
 }
 
 /**
- * The runs that take room at a backend server, from before their start is sent until their end is
- * certain. A run is over when the backend server lists its end, when it was confirmed and a later look
- * does not show it, or when its stop was acknowledged and a later look does not show it: a start that
- * is still on its way is refused after that.
+ * The runs that occupy capacity at a backend server, from before their start is sent until they are known to
+ * have ended. A run has ended when the backend server lists its end, when it was confirmed and a later poll
+ * does not list it, or when its stop was acknowledged and a later poll does not list it: after the stop, a
+ * start that is still in flight is refused.
  */
 export default class ActiveRuns {
   private readonly runs = new Map<string, RunState>();
 
-  /** For each stop that was acknowledged, the first look that proves whether the run is there. */
-  private readonly proofs = new Map<RunState, number>();
+  /** For each acknowledged stop, the number of the first poll that shows whether the run is still there. */
+  private readonly verifyingPolls = new Map<RunState, number>();
 
-  private looks = 0;
+  private pollCount = 0;
 
-  private constructor(private readonly opts: HeldRunsOptions) {}
+  private constructor(private readonly opts: ActiveRunsOptions) {}
 
-  /** Creates one without any run. */
-  static create(opts: HeldRunsOptions): ActiveRuns {
+  /** Creates an empty set of runs. */
+  static create(opts: ActiveRunsOptions): ActiveRuns {
     return new ActiveRuns(opts);
   }
 
@@ -40,22 +40,22 @@
     return this.runs.size;
   }
 
-  /** All of them. */
+  /** All active runs. */
   get all(): Iterable<RunState> {
     return this.runs.values();
   }
 
-  /** What they take, those that are being stopped included. */
+  /** The capacity that they occupy, including runs that are being stopped. */
   get allocated(): Resources {
     return sumOf([...this.runs.values()]);
   }
 
-  /** What an owner's runs take of that. */
+  /** The part of it that an owner's runs occupy. */
   allocatedTo(owner: object): Resources {
     return sumOf([...this.runs.values()].filter(({ request }) => request.owner === owner));
   }
 
-  /** How long the one of their owners that was confirmed longest ago has been silent, ms. */
+  /** The longest time for which any of their owners has not been confirmed alive, ms. */
   get silentMs(): number {
     let longest = 0;
     this.runs.forEach(({ request }) => {
@@ -64,81 +64,81 @@
     return longest;
   }
 
-  /** Whether a stop was acknowledged and the look that proves the end is still to come. */
+  /** Whether a stop was acknowledged and the poll that verifies the end is still to come. */
   get hasUnverifiedStop(): boolean {
-    return this.proofs.size > 0;
+    return this.verifyingPolls.size > 0;
   }
 
-  /** The run of a task, by its key. */
+  /** The active run of a task, by task key. */
   find(key: string): RunState | undefined {
     return this.runs.get(key);
   }
 
-  /** Whether exactly this run is held. */
+  /** Whether exactly this run is active. */
   includes(state: RunState): boolean {
     return this.runs.get(taskKey(state.run)) === state;
   }
 
-  /** Runs of the same step. */
+  /** The number of active runs of the same step. */
   countOfStep({ batch, step }: Pick<RunRequest, 'batch' | 'step'>): number {
     const requests = [...this.runs.values()].map((run) => run.request);
     return requests.filter((each) => each.batch === batch && each.step === step).length;
   }
 
-  /** Whether a run is there under which a backend server has crashed before. */
+  /** Whether a run is active that is suspected of having crashed a backend server. */
   get hasSuspect(): boolean {
-    return this.has(({ suspicion }) => suspicion > 0);
+    return this.hasRequest(({ suspicion }) => suspicion > 0);
   }
 
-  /** Whether a run is there beside which there may be no other. */
+  /** Whether a run is active that must have the backend server to itself. */
   get hasExclusiveRun(): boolean {
-    return this.has(({ suspicion }) => needsExclusiveBackend(suspicion));
+    return this.hasRequest(({ suspicion }) => needsExclusiveBackend(suspicion));
   }
 
-  /** Takes room for a run, in place of an earlier try of the same task. */
+  /** Allocates capacity for a run. It replaces an earlier attempt of the same task. */
   add(state: RunState): void {
     this.runs.set(taskKey(state.run), state);
   }
 
-  /** A look is about to be sent; returns its number. */
+  /** Called before a poll is sent; returns the number of the poll. */
   beginPoll(): number {
-    this.looks += 1;
-    return this.looks;
+    this.pollCount += 1;
+    return this.pollCount;
   }
 
-  /** The backend server has confirmed the run: looks that are sent from now on list it. */
+  /** The backend server has confirmed the run: polls that are sent from now on list it. */
   confirm(state: RunState): void {
     if (state.isConfirmed) return;
     state.isConfirmed = true;
-    state.confirmedAtPoll = this.looks;
+    state.confirmedAtPoll = this.pollCount;
   }
 
-  /** The stop of a run was acknowledged. */
+  /** The backend server has acknowledged the stop of a run. */
   stopAcknowledged(state: RunState): void {
-    this.proofs.set(state, this.looks + 1);
+    this.verifyingPolls.set(state, this.pollCount + 1);
   }
 
-  /** Compares with what a look showed; returns runs that are there and should not be. */
-  reconcile({ running }: BackendPollResult, look: number): readonly RunId[] {
-    const seen = new Set<RunState>();
-    const strangers: RunId[] = [];
+  /** Applies the result of a poll; returns runs that are listed but not active here. */
+  reconcile({ running }: BackendPollResult, poll: number): readonly RunId[] {
+    const listed = new Set<RunState>();
+    const unknown: RunId[] = [];
     running.forEach(({ run, percent }) => {
       const state = this.runs.get(taskKey(run));
       if (state?.run.attempt !== run.attempt) {
-        strangers.push(run);
+        unknown.push(run);
         return;
       }
-      seen.add(state);
+      listed.add(state);
       this.confirm(state);
-      this.opts.progressed(state, percent - state.percentDone);
+      this.opts.onProgress(state, percent - state.percentDone);
       state.percentDone = percent;
     });
-    this.finishProven(look, seen);
-    this.finishVanished(look, seen);
-    return strangers;
+    this.finishVerifiedStops(poll, listed);
+    this.finishUnlisted(poll, listed);
+    return unknown;
   }
 
-  /** The run is over: its owner is told, and its room is free. */
+  /** Ends the run: notifies its owner and frees its capacity. */
   finish(
     state: RunState,
     outcome: RunOutcome,
@@ -149,49 +149,51 @@
     const key = taskKey(run);
     const { number } = request;
     this.runs.delete(key);
-    this.proofs.delete(state);
+    this.verifyingPolls.delete(state);
     const end = create(RunEndSchema, { number, outcome, attempt: run.attempt, reason, crash });
-    request.ended(end, state.stop);
-    this.opts.over(key);
+    request.onEnded(end, state.stop);
+    this.opts.onEnded(key);
   }
 
-  /** Nothing runs there any more; `roleOf` tells what part a run had in a crash by which that is so. */
+  /**
+   * Ends all runs, which are gone with the backend server; `roleOf` gives each run's role in the crash, if it was one.
+   */
   finishAllAsLost(reason: string, roleOf?: (state: RunState) => CrashRole): void {
     [...this.runs.values()].forEach((state) =>
       this.finish(state, RunOutcome.LOST, reason, roleOf?.(state)),
     );
   }
 
-  /** Gives up those for which the predicate holds, and tells nobody; returns them. */
+  /** Removes the runs that match, without notifying anybody; returns them. */
   release(matches: (state: RunState) => boolean): readonly RunState[] {
     const released = [...this.runs.values()].filter(matches);
     released.forEach((state) => {
       this.runs.delete(taskKey(state.run));
-      this.proofs.delete(state);
+      this.verifyingPolls.delete(state);
     });
     return released;
   }
 
-  /** Asked with each order and each report of room, so nothing is copied for it. */
-  private has(matches: (request: RunRequest) => boolean): boolean {
+  /** Called for each start request and each capacity report, so it avoids copying the runs. */
+  private hasRequest(matches: (request: RunRequest) => boolean): boolean {
     for (const { request } of this.runs.values()) {
       if (matches(request)) return true;
     }
     return false;
   }
 
-  private finishProven(look: number, seen: ReadonlySet<RunState>): void {
-    [...this.proofs].forEach(([state, provenBy]) => {
-      if (look < provenBy || seen.has(state)) return;
+  private finishVerifiedStops(poll: number, listed: ReadonlySet<RunState>): void {
+    [...this.verifyingPolls].forEach(([state, verifyingPoll]) => {
+      if (poll < verifyingPoll || listed.has(state)) return;
       if (this.includes(state))
         this.finish(state, RunOutcome.LOST, 'it was stopped and is not there');
-      else this.proofs.delete(state);
+      else this.verifyingPolls.delete(state);
     });
   }
 
-  private finishVanished(look: number, seen: ReadonlySet<RunState>): void {
+  private finishUnlisted(poll: number, listed: ReadonlySet<RunState>): void {
     [...this.runs.values()].forEach((state) => {
-      if (!state.isConfirmed || look <= state.confirmedAtPoll || seen.has(state)) return;
+      if (!state.isConfirmed || poll <= state.confirmedAtPoll || listed.has(state)) return;
       this.finish(state, RunOutcome.LOST, 'the backend server does not list it any more');
     });
   }
--- a/src/runs/BackendIncarnation.ts
+++ b/src/runs/BackendIncarnation.ts
@@ -20,140 +20,149 @@
 import taskKey from './taskKey';
 
 /**
- * One life of a backend server, from its first heartbeat to its end. It is the only caller of that
- * backend server, so it alone decides what is started there: a run takes its room before its start
- * is sent and gives it back when its end is certain.
+ * One incarnation of a backend server, from its first heartbeat to its end. Nothing else calls that backend
+ * server, so it alone decides what is started there: capacity is allocated to a run before its start is sent,
+ * and freed when the run is known to have ended.
  */
 export default class BackendIncarnation {
-  /** Orders that wait for an earlier run of the same task to be over here. */
-  private readonly followers = new Map<string, RunRequest>();
+  /** Start requests that wait for an earlier run of the same task to end here. */
+  private readonly successors = new Map<string, RunRequest>();
 
-  /** Orders that came when there was no room, oldest first: entries decide at the same time. */
-  private waiting: RunRequest[] = [];
+  /** Start requests that arrived when capacity was short, oldest first: entries decide independently of each other. */
+  private waitingRequests: RunRequest[] = [];
 
-  private readonly presence: BackendLiveness;
+  private readonly liveness: BackendLiveness;
 
   private readonly lease: BackendLease;
 
-  private readonly held: ActiveRuns;
+  private readonly activeRuns: ActiveRuns;
 
-  private readonly orders: RunCommands;
+  private readonly commands: RunCommands;
 
-  private readonly looks: BackendPoller;
+  private readonly poller: BackendPoller;
 
-  private newest: BackendHeartbeat;
+  private latestHeartbeat: BackendHeartbeat;
 
-  /** Whether it has said that it ends now. */
-  private hasLeft = false;
+  /** Whether the backend server has announced that it shuts down now. */
+  private isLeaving = false;
 
-  /** How well it works, by its runs. */
+  /** How well it works, measured by its runs. */
   readonly health: BackendHealth;
 
   private constructor(private readonly opts: BackendIncarnationOptions) {
-    const { timer, report, backend, log, onChange: changed, previousToken: tokenAbove } = opts;
-    const presence = BackendLiveness.create(timer, {
-      ended: (reason, how) => this.over(reason, how),
-      doubtChanged: () => this.doubtChanged(),
+    const { timer, heartbeat, backend, log, onChange, previousToken } = opts;
+    const liveness = BackendLiveness.create(timer, {
+      onEnded: (reason, how) => this.handleEnd(reason, how),
+      onResponsivenessChange: () => this.handleResponsivenessChange(),
     });
-    this.presence = presence;
-    this.newest = report;
-    this.lease = BackendLease.of(timer, report, tokenAbove);
+    this.liveness = liveness;
+    this.latestHeartbeat = heartbeat;
+    this.lease = BackendLease.of(timer, heartbeat, previousToken);
     this.health = BackendHealth.create(timer);
-    this.held = ActiveRuns.create({
-      over: (key) => this.runOver(key),
-      progressed: (state, percent) => this.health.addProgress(state, percent),
+    this.activeRuns = ActiveRuns.create({
+      onEnded: (key) => this.handleRunEnd(key),
+      onProgress: (state, percent) => this.health.addProgress(state, percent),
     });
-    const times = AnswerTimeouts.create();
-    const shared = { timer, backend, log, presence, times, lease: this.lease, held: this.held };
-    this.orders = RunCommands.create({
+    const timeouts = AnswerTimeouts.create();
+    const shared = {
+      timer,
+      backend,
+      log,
+      liveness,
+      timeouts,
+      lease: this.lease,
+      activeRuns: this.activeRuns,
+    };
+    this.commands = RunCommands.create({
       ...shared,
-      lookSoon: () => this.looks.pollSoon(),
-      fail: (error) => this.fail(error),
+      pollSoon: () => this.poller.pollSoon(),
+      onError: (error) => this.abandon(error),
     });
-    const { health, orders } = this;
-    this.looks = BackendPoller.create({ ...shared, health, orders, id: report.id, changed });
+    const { health, commands } = this;
+    this.poller = BackendPoller.create({ ...shared, health, commands, id: heartbeat.id, onChange });
   }
 
-  /** Takes over a backend server: ends what an earlier sidecar left running, then takes tasks. */
+  /** Begins to serve a backend server: stops what an earlier sidecar left running, then accepts tasks. */
   static begin(opts: BackendIncarnationOptions): BackendIncarnation {
-    const life = new BackendIncarnation(opts);
-    life.looks.run().catch((error: unknown) => life.fail(error));
-    return life;
+    const incarnation = new BackendIncarnation(opts);
+    incarnation.poller.run().catch((error: unknown) => incarnation.abandon(error));
+    return incarnation;
   }
 
-  /** The newest heartbeat. */
+  /** The latest heartbeat. */
   get heartbeat(): BackendHeartbeat {
-    return this.newest;
+    return this.latestHeartbeat;
   }
 
-  /** Whether new tasks are taken now. */
+  /** Whether new tasks are accepted now. */
   get isAccepting(): boolean {
-    const { state, isUnresponsive: isDoubted } = this.presence;
-    const isOpen = state === 'open' && !isDoubted && !this.newest.draining && !this.hasLeft;
+    const { state, isUnresponsive } = this.liveness;
+    const isOpen =
+      state === 'open' && !isUnresponsive && !this.latestHeartbeat.draining && !this.isLeaving;
     return isOpen && this.opts.startBlocker() === undefined;
   }
 
   /** Whether nothing of an earlier sidecar is left running here. */
   get isCleared(): boolean {
-    const { state } = this.presence;
+    const { state } = this.liveness;
     return state === 'open' || state === 'silent';
   }
 
-  /** What neither a run nor one that is being stopped takes. */
+  /** The capacity not occupied by runs, including those being stopped. */
   get free(): Resources {
-    if (this.held.hasExclusiveRun) return Resources.none;
-    return this.newest.capacity.minus(this.held.allocated);
+    if (this.activeRuns.hasExclusiveRun) return Resources.none;
+    return this.latestHeartbeat.capacity.minus(this.activeRuns.allocated);
   }
 
-  /** What the owner's runs take. */
+  /** The capacity that the owner's runs occupy. */
   allocatedTo(owner: object): Resources {
-    return this.held.allocatedTo(owner);
+    return this.activeRuns.allocatedTo(owner);
   }
 
-  /** Runs that are not certainly over. */
+  /** Runs that are not known to have ended, and waiting start requests. */
   get size(): number {
-    return this.held.size + this.followers.size + this.waiting.length;
+    return this.activeRuns.size + this.successors.size + this.waitingRequests.length;
   }
 
-  /** Takes a later heartbeat of the same life; one that came late is ignored. */
-  handleHeartbeat(report: BackendHeartbeat): void {
-    if (report.sequence < this.newest.sequence) return;
-    const before = this.newest;
-    // A backend server that leaves sends no more, so the word that it does was that of an earlier life.
-    const isStaying = this.hasLeft && report.born !== undefined && !report.draining;
-    if (isStaying) this.hasLeft = false;
-    this.newest = { ...report, draining: before.draining || report.draining };
-    this.lease.updateClock(report.clockMs);
-    const isDraining = this.newest.draining && !before.draining;
-    const hasOtherRoom = !report.capacity.equals(before.capacity);
-    if (isDraining) this.note('the backend server is draining: it gets no new tasks');
-    if (hasOtherRoom) this.note('the room of the backend server has changed');
-    if (isDraining || hasOtherRoom || isStaying) this.opts.onChange();
+  /** Applies a later heartbeat of the same incarnation; one that arrives out of order is ignored. */
+  handleHeartbeat(heartbeat: BackendHeartbeat): void {
+    if (heartbeat.sequence < this.latestHeartbeat.sequence) return;
+    const previous = this.latestHeartbeat;
+    // A backend server that shuts down sends no more heartbeats, so the announcement came from an earlier incarnation.
+    const isBack = this.isLeaving && heartbeat.born !== undefined && !heartbeat.draining;
+    if (isBack) this.isLeaving = false;
+    this.latestHeartbeat = { ...heartbeat, draining: previous.draining || heartbeat.draining };
+    this.lease.updateClock(heartbeat.clockMs);
+    const isDraining = this.latestHeartbeat.draining && !previous.draining;
+    const hasOtherCapacity = !heartbeat.capacity.equals(previous.capacity);
+    if (isDraining) this.logState('the backend server is draining: it gets no new tasks');
+    if (hasOtherCapacity) this.logState('the capacity of the backend server has changed');
+    if (isDraining || hasOtherCapacity || isBack) this.opts.onChange();
   }
 
-  private note(message: string): void {
-    const { id, sequence, capacity } = this.newest;
+  private logState(message: string): void {
+    const { id, sequence, capacity } = this.latestHeartbeat;
     this.opts.log.info(message, {
       backend: id,
       sequence,
       cpuMilli: capacity.cpuMilli,
-      running: this.held.size,
+      running: this.activeRuns.size,
     });
   }
 
-  /** The backend server has said that it ends now: nothing new is started. */
+  /** The backend server has announced that it shuts down now: nothing new is started. */
   handleLeaving(): void {
-    if (this.hasLeft) return;
-    this.hasLeft = true;
-    this.note('the backend server leaves: it gets no new tasks');
+    if (this.isLeaving) return;
+    this.isLeaving = true;
+    this.logState('the backend server is shutting down: it gets no new tasks');
     this.opts.onChange();
   }
 
-  /** Starts a task, or says why not. The request is told how it ended in either case. */
+  /** Starts a task or refuses the request. Either way the request's `onEnded` is called with the outcome. */
   start(request: RunRequest): void {
     const refusal = this.refusalOf(request);
-    if (refusal === NO_ROOM && this.waiting.length < runLimits.waitingOrders) {
-      this.wait(request);
+    if (refusal === NO_CAPACITY && this.waitingRequests.length < runLimits.maxWaitingRequests) {
+      this.waitForCapacity(request);
       return;
     }
     if (refusal !== undefined) {
@@ -161,141 +170,144 @@
       return;
     }
     const key = taskKey(request);
-    if (this.held.find(key)) this.follow(key, request);
-    else this.orders.start(request);
+    if (this.activeRuns.find(key)) this.replaceRun(key, request);
+    else this.commands.start(request);
   }
 
-  /** Stops the runs of an owner for which the predicate holds. */
+  /** Stops the owner's runs that match. */
   stop(owner: object, cause: StopCause, matches: (request: RunRequest) => boolean): void {
-    const isMeant = (request: RunRequest): boolean => request.owner === owner && matches(request);
-    [...this.followers].forEach(([key, request]) => {
-      if (!isMeant(request)) return;
-      this.followers.delete(key);
-      refuse(request, STOPPED_FIRST);
+    const isSelected = (request: RunRequest): boolean =>
+      request.owner === owner && matches(request);
+    [...this.successors].forEach(([key, request]) => {
+      if (!isSelected(request)) return;
+      this.successors.delete(key);
+      refuse(request, STOPPED_BEFORE_START);
     });
-    this.waiting.filter(isMeant).forEach((request) => this.giveUp(request, STOPPED_FIRST));
-    [...this.held.all]
-      .filter(({ request }) => isMeant(request))
-      .forEach((run) => this.orders.stop(run, cause));
+    this.waitingRequests
+      .filter(isSelected)
+      .forEach((request) => this.refuseWaiting(request, STOPPED_BEFORE_START));
+    [...this.activeRuns.all]
+      .filter(({ request }) => isSelected(request))
+      .forEach((run) => this.commands.stop(run, cause));
   }
 
-  /** Whether runs of the owner are not certainly over. */
+  /** Whether the owner has runs that are not known to have ended, or waiting start requests. */
   hasRunsOf(owner: object): boolean {
-    const held = [...this.held.all].map(({ request }) => request);
-    const all = [...held, ...this.followers.values(), ...this.waiting];
+    const active = [...this.activeRuns.all].map(({ request }) => request);
+    const all = [...active, ...this.successors.values(), ...this.waitingRequests];
     return all.some((request) => request.owner === owner);
   }
 
   /** Whether tasks of the step of a batch run here. */
   hasRunsOfStep(batch: string, step: number): boolean {
-    return this.held.countOfStep({ batch, step }) > 0;
+    return this.activeRuns.countOfStep({ batch, step }) > 0;
   }
 
-  /** Ends this life: the backend server is known to be gone, with everything that ran there. */
+  /** Ends this incarnation: the backend server is known to be gone, with everything that ran there. */
   end(reason: string, how: IncarnationEnd): void {
-    this.presence.end(reason, how);
+    this.liveness.end(reason, how);
   }
 
-  private over(reason: string, how: IncarnationEnd): void {
-    const { backend, log, onEnded: over, onChange: changed } = this.opts;
-    const { id, born, draining, address } = this.newest;
-    // One that has said that it leaves is gone as planned.
+  private handleEnd(reason: string, how: IncarnationEnd): void {
+    const { backend, log, onEnded, onChange } = this.opts;
+    const { id, born, draining, address } = this.latestHeartbeat;
+    // Ending after an announced shutdown is not a crash.
     const isAbandoned = how === 'abandoned';
-    const isCrash = !isAbandoned && !draining && !this.hasLeft;
-    const role = crashRoleOf(this.held.all, this.opts.hasCrashedRecently());
+    const isCrash = !isAbandoned && !draining && !this.isLeaving;
+    const role = crashRoleOf(this.activeRuns.all, this.opts.hasCrashedRecently());
     const roleOf = isCrash ? role : undefined;
-    const running = this.held.size;
+    const running = this.activeRuns.size;
     log.warn('the backend server is gone', { backend: id, born, reason, how, isCrash, running });
     const { token } = this.lease;
-    // The next life reckons leases by a clock of its own, so its clearing is awaited.
+    // The next incarnation measures leases by a clock of its own, so runs stay in doubt until it has been cleared.
     const mayComeBack = how === 'gone' || how === 'reborn';
-    const settledInMs = mayComeBack ? runLimits.nextIncarnationMs : this.lease.msUntilExpired;
-    const unsettled = this.held
+    const resolvedInMs = mayComeBack ? runLimits.nextIncarnationMs : this.lease.msUntilExpired;
+    const inDoubt = this.activeRuns
       .release((run) => backend.mayOutlive(run, how))
       .map((state) => ({ state, address, reason, crash: roleOf?.(state) }));
-    over({
+    onEnded({
       isCrash,
       isAbandoned,
       token,
       successorBorn: backend.successorBorn,
-      inDoubt: unsettled,
-      resolvedInMs: settledInMs,
+      inDoubt,
+      resolvedInMs,
     });
-    [...this.followers.values()].forEach((request) => refuse(request, reason));
-    this.followers.clear();
-    [...this.waiting].forEach((request) => this.giveUp(request, reason));
-    this.held.finishAllAsLost(reason, roleOf);
-    this.looks.pollSoon();
-    changed();
+    [...this.successors.values()].forEach((request) => refuse(request, reason));
+    this.successors.clear();
+    [...this.waitingRequests].forEach((request) => this.refuseWaiting(request, reason));
+    this.activeRuns.finishAllAsLost(reason, roleOf);
+    this.poller.pollSoon();
+    onChange();
   }
 
-  private doubtChanged(): void {
-    const { isUnresponsive: isDoubted, silentMs } = this.presence;
-    this.opts.log.info('whether the backend server answers has changed', {
-      backend: this.newest.id,
-      isDoubted,
+  private handleResponsivenessChange(): void {
+    const { isUnresponsive, silentMs } = this.liveness;
+    this.opts.log.info('the backend server has become responsive or unresponsive', {
+      backend: this.latestHeartbeat.id,
+      isDoubted: isUnresponsive,
       silentMs: Math.round(silentMs),
-      running: this.held.size,
+      running: this.activeRuns.size,
     });
-    this.looks.pollSoon();
+    this.poller.pollSoon();
     this.opts.onChange();
   }
 
   private refusalOf(request: RunRequest): string | undefined {
-    const obstacle = this.opts.startBlocker();
-    if (obstacle !== undefined) return obstacle;
-    if (!request.owner.isConfirmed) return UNCONFIRMED;
-    if (!this.isAccepting) return `the backend server takes no tasks (${this.presence.state})`;
-    if (request.service !== this.newest.service) return 'it serves another service';
-    if (request.label !== '' && !this.newest.labels.includes(request.label)) {
+    const blocker = this.opts.startBlocker();
+    if (blocker !== undefined) return blocker;
+    if (!request.owner.isConfirmed) return ENTRY_UNCONFIRMED;
+    if (!this.isAccepting) return `the backend server takes no tasks (${this.liveness.state})`;
+    if (request.service !== this.latestHeartbeat.service) return 'it serves another service';
+    if (request.label !== '' && !this.latestHeartbeat.labels.includes(request.label)) {
       return 'it lacks the label';
     }
-    if (request.suspicion > 0 && this.held.hasSuspect)
+    if (request.suspicion > 0 && this.activeRuns.hasSuspect)
       return 'another suspect of a crash runs here';
-    if (needsExclusiveBackend(request.suspicion) && this.held.size > 0)
+    if (needsExclusiveBackend(request.suspicion) && this.activeRuns.size > 0)
       return 'it has to run alone';
-    if (!this.free.covers(request.needs)) return NO_ROOM;
-    if (request.mostTogether > 0 && this.held.countOfStep(request) >= request.mostTogether) {
+    if (!this.free.covers(request.needs)) return NO_CAPACITY;
+    if (request.mostTogether > 0 && this.activeRuns.countOfStep(request) >= request.mostTogether) {
       return 'enough tasks of the step are here';
     }
     return undefined;
   }
 
-  /** Another entry's order was faster. The next end is a few milliseconds away on a busy server. */
-  private wait(request: RunRequest): void {
-    this.waiting.push(request);
-    this.opts.timer.after(runLimits.orderWaitMs, () => this.giveUp(request, NO_ROOM));
+  /** Another entry's request was faster. On a busy server the next run ends within a few milliseconds. */
+  private waitForCapacity(request: RunRequest): void {
+    this.waitingRequests.push(request);
+    this.opts.timer.after(runLimits.capacityWaitMs, () => this.refuseWaiting(request, NO_CAPACITY));
   }
 
-  private giveUp(request: RunRequest, reason: string): void {
-    if (!this.waiting.includes(request)) return;
-    this.waiting = this.waiting.filter((other) => other !== request);
+  private refuseWaiting(request: RunRequest, reason: string): void {
+    if (!this.waitingRequests.includes(request)) return;
+    this.waitingRequests = this.waitingRequests.filter((other) => other !== request);
     refuse(request, reason);
   }
 
-  /** Starts what waited, now that there may be room. */
+  /** Retries the waiting start requests, now that there may be free capacity. */
   private startWaiting(): void {
-    const { waiting } = this;
-    this.waiting = [];
-    waiting.forEach((request) => {
-      if (this.refusalOf(request) === NO_ROOM) this.waiting.push(request);
+    const { waitingRequests } = this;
+    this.waitingRequests = [];
+    waitingRequests.forEach((request) => {
+      if (this.refusalOf(request) === NO_CAPACITY) this.waitingRequests.push(request);
       else this.start(request);
     });
   }
 
-  /** The same task again from another entry: the earlier run's caller has turned to that one. */
-  private follow(key: string, request: RunRequest): void {
-    const before = this.followers.get(key);
-    if (before) refuse(before, 'the same task was asked for again');
-    this.followers.set(key, request);
-    const earlier = this.held.find(key);
+  /** The same task was requested again by another entry: the caller of the earlier run has turned to that entry. */
+  private replaceRun(key: string, request: RunRequest): void {
+    const waiting = this.successors.get(key);
+    if (waiting) refuse(waiting, 'the same task was asked for again');
+    this.successors.set(key, request);
+    const earlier = this.activeRuns.find(key);
     if (!earlier) return;
-    this.noteFollowed(earlier, request);
-    this.orders.stop(earlier, 'ordered_again');
+    this.logReplaced(earlier, request);
+    this.commands.stop(earlier, 'ordered_again');
   }
 
-  private noteFollowed({ request, run, startedAt, stop }: RunState, next: RunRequest): void {
-    this.opts.log.info('a task is ordered that is still here', {
+  private logReplaced({ request, run, startedAt, stop }: RunState, next: RunRequest): void {
+    this.opts.log.info('a task is started again while an earlier run of it is active', {
       request: run.batch,
       step: run.step,
       index: run.index,
@@ -306,28 +318,28 @@
     });
   }
 
-  private runOver(key: string): void {
-    const next = this.followers.get(key);
+  private handleRunEnd(key: string): void {
+    const next = this.successors.get(key);
     if (next) {
-      this.followers.delete(key);
+      this.successors.delete(key);
       this.start(next);
     }
     this.startWaiting();
     this.opts.onChange();
   }
 
-  private fail(error: unknown): void {
+  private abandon(error: unknown): void {
     this.opts.log.warn('serving the backend server failed', { error });
-    this.presence.end('an error in this process', 'abandoned');
+    this.liveness.end('an error in this process', 'abandoned');
   }
 }
 
-const NO_ROOM = 'there is no room';
-const UNCONFIRMED = 'the entry is not confirmed to be awake';
-const STOPPED_FIRST = 'it was stopped before it was started';
+const NO_CAPACITY = 'there is no room';
+const ENTRY_UNCONFIRMED = 'the entry is not confirmed to be awake';
+const STOPPED_BEFORE_START = 'it was stopped before it was started';
 
 function refuse(request: RunRequest, reason: string): void {
   const { number, attempt } = request;
   const outcome = RunOutcome.REFUSED;
-  request.ended(create(RunEndSchema, { number, outcome, attempt, reason }));
+  request.onEnded(create(RunEndSchema, { number, outcome, attempt, reason }));
 }
--- a/src/runs/BackendLiveness.ts
+++ b/src/runs/BackendLiveness.ts
@@ -2,51 +2,51 @@
 import type BackendRunFailure from './BackendRunFailure';
 import type IncarnationEnd from './IncarnationEnd';
 
-interface PresenceHandlers {
-  /** Told once, when the life is known to be over. */
-  readonly ended: (reason: string, how: IncarnationEnd) => void;
-  /** Told when it comes to be doubted, and when it no longer is. */
-  readonly doubtChanged: () => void;
+interface LivenessHandlers {
+  /** Called once, when the incarnation is known to have ended. */
+  readonly onEnded: (reason: string, how: IncarnationEnd) => void;
+  /** Called when it becomes unresponsive, and when it no longer is. */
+  readonly onResponsivenessChange: () => void;
 }
 
 /**
- * Whether a life of a backend server is still there, by what calls to it have shown.
- * `clearing`: what an earlier sidecar left running is being stopped. `open`: it answers.
- * `silent`: it has not answered for a while, and its lease is not renewed. `over`: it is gone.
+ * Whether an incarnation of a backend server is still there, judged by the calls to it. `clearing`: what an
+ * earlier sidecar left running is being stopped. `open`: it answers. `silent`: it has not answered for a while,
+ * and its lease is not renewed. `over`: it is gone.
  */
 export default class BackendLiveness {
   state: 'clearing' | 'open' | 'silent' | 'over' = 'clearing';
 
   private refusedConnections = 0;
 
-  private unanswered = 0;
+  private unansweredCalls = 0;
 
   private answeredAt: number;
 
   private constructor(
     private readonly timer: TimerService,
-    private readonly told: PresenceHandlers,
+    private readonly handlers: LivenessHandlers,
   ) {
     this.answeredAt = timer.now();
   }
 
-  /** Starts before the first call. */
-  static create(timer: TimerService, told: PresenceHandlers): BackendLiveness {
-    return new BackendLiveness(timer, told);
+  /** Create it before the first call. */
+  static create(timer: TimerService, handlers: LivenessHandlers): BackendLiveness {
+    return new BackendLiveness(timer, handlers);
   }
 
-  /** Whether the life is known to be over. */
+  /** Whether the incarnation is known to have ended. */
   get isEnded(): boolean {
     return this.state === 'over';
   }
 
   /**
-   * Whether the newest calls were not answered, so that it gets nothing new before it answers one. It
-   * answers a backend server that has just gone dark: each task sent there would be late, and a batch is
-   * as late as its last task. It comes long before the backend server counts as silent.
+   * Whether the latest calls were not answered; nothing new is started there until one is. This reacts to a
+   * backend server that has just become unreachable, long before its state is `silent`: each task sent there
+   * would be late, and a batch is as late as its last task.
    */
   get isUnresponsive(): boolean {
-    return this.unanswered >= DOUBTED_AFTER;
+    return this.unansweredCalls >= UNRESPONSIVE_AFTER_CALLS;
   }
 
   /** Time since a call was answered, ms. */
@@ -56,43 +56,45 @@
 
   /** A call was answered. */
   recordAnswer(): void {
-    const wasDoubted = this.isUnresponsive;
+    const wasUnresponsive = this.isUnresponsive;
     this.refusedConnections = 0;
-    this.unanswered = 0;
+    this.unansweredCalls = 0;
     this.answeredAt = this.timer.now();
-    if (wasDoubted) this.told.doubtChanged();
+    if (wasUnresponsive) this.handlers.onResponsivenessChange();
   }
 
-  /** Whether a failure shows that this life has ended; then it is ended here too. */
+  /** Records a failed call; returns whether this incarnation has ended, which it does if the failure proves it. */
   endsWithFailure(failure: BackendRunFailure): boolean {
     if (this.isEnded) return true;
     if (failure.kind === 'replaced' || failure.kind === 'reborn') {
       this.end(failure.reason, failure.kind);
       return true;
     }
-    if (failure.kind === 'unanswered') this.missed();
+    if (failure.kind === 'unanswered') this.recordUnanswered();
     if (failure.kind !== 'closed') return false;
     this.refusedConnections += 1;
-    if (this.refusedConnections < CLOSED_IS_GONE) return false;
+    if (this.refusedConnections < GONE_AFTER_REFUSED_CONNECTIONS) return false;
     this.end(failure.reason, 'gone');
     return true;
   }
 
-  /** The life is over. */
+  /** Ends the incarnation. */
   end(reason: string, how: IncarnationEnd): void {
     if (this.isEnded) return;
     this.state = 'over';
-    this.told.ended(reason, how);
+    this.handlers.onEnded(reason, how);
   }
 
-  private missed(): void {
-    this.unanswered += 1;
-    if (this.unanswered === DOUBTED_AFTER) this.told.doubtChanged();
+  private recordUnanswered(): void {
+    this.unansweredCalls += 1;
+    if (this.unansweredCalls === UNRESPONSIVE_AFTER_CALLS) this.handlers.onResponsivenessChange();
   }
 }
 
-/** Calls in a row without an answer after which a backend server gets nothing new: one may be lost. */
-const DOUBTED_AFTER = 2;
+/** Unanswered calls in a row after which nothing new is started on a backend server: a single answer may be lost. */
+const UNRESPONSIVE_AFTER_CALLS = 2;
 
-/** Connections refused in a row by which nothing listens there any more: one could be a restart's gap. */
-const CLOSED_IS_GONE = 2;
+/**
+ * Refused connections in a row after which the backend server is gone: a single one could be a gap during a restart.
+ */
+const GONE_AFTER_REFUSED_CONNECTIONS = 2;
--- a/src/runs/CapacityReports.ts
+++ b/src/runs/CapacityReports.ts
@@ -10,188 +10,208 @@
 import type CapacityOffers from './CapacityOffers';
 import type LocalBackend from './LocalBackend';
 
-/** What an entry was told last, and what it had here then. */
-interface Told {
+/** The last report sent to an entry, and what its runs occupied here then. */
+interface SentReport {
   readonly room: Room;
-  readonly held: Resources;
-  /** The offer that it was told of. */
+  readonly allocated: Resources;
+  /** The offer that the report announced. */
   readonly offer: number | undefined;
 }
 
 /**
- * Tells the entries what room there is. An entry knows what its own orders take and give back, so a
- * report is only about what the others do: one is sent when what an entry believes is wrong by more than a
- * task or so. An entry that believes in too little room asks for some when it needs it, and gets it by
- * offers; one that believes in too much has an order refused, and believes in none from then on. While
- * entries wait for room, only those hear of it, in their turn. So reports cost little however many
- * entries are linked, and most when nothing waits.
+ * Reports free capacity to the entries. An entry knows what its own runs occupy and free, so a report is only about
+ * the runs of other entries: it is sent when the entry's view is wrong by more than about one task. An entry that
+ * assumes too little reports its demand when it needs more, and gets offers; one that assumes too much has a start
+ * request refused, and assumes none from then on. While entries wait for capacity, it is reported only to the entry
+ * that is offered it. So reports cost little however many entries are linked, and most when nothing waits.
  */
 export default class CapacityReports {
-  private readonly told = new Map<EntryLink, Told>();
+  private readonly sentReports = new Map<EntryLink, SentReport>();
 
-  private offer: Subscription | undefined;
+  private offerTimer: Subscription | undefined;
 
-  private isDue = false;
+  private isScheduled = false;
 
-  /** The life of which a speed was told, and which. */
-  private speed: { readonly backend: string; readonly times: number | undefined } | undefined;
+  /** The incarnation whose duration ratio was reported last, and the value. */
+  private reportedRatio:
+    { readonly backend: string; readonly ratio: number | undefined } | undefined;
 
   private constructor(
     private readonly timer: TimerService,
-    private readonly host: LocalBackend,
-    private readonly turns: CapacityOffers,
-    private readonly owners: () => Iterable<EntryLink>,
+    private readonly backend: LocalBackend,
+    private readonly offers: CapacityOffers,
+    private readonly entryLinks: () => Iterable<EntryLink>,
     private readonly log: EventLog,
   ) {}
 
-  /** Creates the reports of a sidecar to the owners linked. */
+  /** Creates the reports of a sidecar to the entries linked. */
   static create(
     timer: TimerService,
-    host: LocalBackend,
-    turns: CapacityOffers,
-    owners: () => Iterable<EntryLink>,
+    backend: LocalBackend,
+    offers: CapacityOffers,
+    entryLinks: () => Iterable<EntryLink>,
     log: EventLog,
   ): CapacityReports {
-    return new CapacityReports(timer, host, turns, owners, log);
+    return new CapacityReports(timer, backend, offers, entryLinks, log);
   }
 
-  /** Something has changed: whoever should hear of it is told after this turn. */
+  /** Something has changed: reports that are due are sent in a microtask. */
   scheduleUpdate(): void {
-    if (this.isDue) return;
-    this.isDue = true;
-    queueMicrotask(() => this.tell());
+    if (this.isScheduled) return;
+    this.isScheduled = true;
+    queueMicrotask(() => this.sendUpdates());
   }
 
-  /** Forgets an owner whose link has ended. */
-  removeEntry(owner: EntryLink): void {
-    this.told.delete(owner);
-    this.turns.removeEntry(owner);
+  /** Forgets an entry whose link has ended. */
+  removeEntry(entryLink: EntryLink): void {
+    this.sentReports.delete(entryLink);
+    this.offers.removeEntry(entryLink);
   }
 
-  /** The owner has ordered something: an offer that it had is used. */
-  handleStart(owner: EntryLink): void {
-    if (this.told.get(owner)?.room.inTurns) this.handleRefusal(owner);
+  /** The entry has sent a start request, which uses up its offer. */
+  handleStart(entryLink: EntryLink): void {
+    if (this.sentReports.get(entryLink)?.room.inTurns) this.handleRefusal(entryLink);
   }
 
-  /** An order of the owner was refused, after which it believes that there is no room. */
-  handleRefusal(owner: EntryLink): void {
-    const before = this.told.get(owner);
-    if (!before) return;
-    const room = { ...before.room, inTurns: true, free: none };
-    this.told.set(owner, { room, held: this.host.allocatedTo(owner), offer: undefined });
+  /** A start request was refused, after which the entry assumes that there is no free capacity. */
+  handleRefusal(entryLink: EntryLink): void {
+    const previous = this.sentReports.get(entryLink);
+    if (!previous) return;
+    const room = { ...previous.room, inTurns: true, free: noCapacity };
+    this.sentReports.set(entryLink, {
+      room,
+      allocated: this.backend.allocatedTo(entryLink),
+      offer: undefined,
+    });
     this.scheduleUpdate();
   }
 
-  private tell(): void {
-    this.isDue = false;
-    const room = this.describe();
-    const turn = this.turns.assign(Resources.of(room.free ?? {}));
-    const withheld = { ...room, inTurns: true, free: none };
-    this.forgetLapsed();
-    [...this.owners()].forEach((owner) => {
-      if (turn === owner) this.tellOffer(owner, { ...room, inTurns: true });
-      else if (turn === 'anybody') this.tellOwner(owner, room, isOff);
-      else this.tellOwner(owner, withheld, isTooHigh);
+  private sendUpdates(): void {
+    this.isScheduled = false;
+    const room = this.currentRoom();
+    const assignee = this.offers.assign(Resources.of(room.free ?? {}));
+    const withheld = { ...room, inTurns: true, free: noCapacity };
+    this.clearExpiredOffers();
+    [...this.entryLinks()].forEach((entryLink) => {
+      if (assignee === entryLink) this.sendOffer(entryLink, { ...room, inTurns: true });
+      else if (assignee === 'anybody') this.sendIfWrong(entryLink, room, isMisestimate);
+      else this.sendIfWrong(entryLink, withheld, isOverestimate);
     });
-    if (this.turns.offerExpiresAt !== undefined) this.awaitOffer(this.turns.offerExpiresAt);
+    if (this.offers.offerExpiresAt !== undefined)
+      this.scheduleOfferExpiry(this.offers.offerExpiresAt);
   }
 
-  /** An entry drops an offer that it has not used by itself, and is not told. */
-  private forgetLapsed(): void {
-    const open = this.turns.offerNumber;
-    this.told.forEach(({ room, offer }, owner) => {
+  /** Entries drop unused offers by themselves, so no report is sent. */
+  private clearExpiredOffers(): void {
+    const open = this.offers.offerNumber;
+    this.sentReports.forEach(({ room, offer }, entryLink) => {
       if (offer === undefined || offer === open) return;
-      const held = this.host.allocatedTo(owner);
-      this.told.set(owner, { room: { ...room, free: none }, held, offer: undefined });
+      const allocated = this.backend.allocatedTo(entryLink);
+      this.sentReports.set(entryLink, {
+        room: { ...room, free: noCapacity },
+        allocated,
+        offer: undefined,
+      });
     });
   }
 
-  /** Looks again when an offer passes on. */
-  private awaitOffer(untilMs: number): void {
-    this.offer?.cancel();
-    this.offer = this.timer.after(untilMs - this.timer.now(), () => this.scheduleUpdate());
+  /** Updates the reports when the open offer expires. */
+  private scheduleOfferExpiry(untilMs: number): void {
+    this.offerTimer?.cancel();
+    this.offerTimer = this.timer.after(untilMs - this.timer.now(), () => this.scheduleUpdate());
   }
 
-  private tellOffer(owner: EntryLink, room: Room): void {
-    const offer = this.turns.offerNumber;
-    const isNew = this.told.get(owner)?.offer !== offer;
-    this.tellOwner(owner, room, isNew ? () => true : isOff, offer);
+  private sendOffer(entryLink: EntryLink, room: Room): void {
+    const offer = this.offers.offerNumber;
+    const isNew = this.sentReports.get(entryLink)?.offer !== offer;
+    this.sendIfWrong(entryLink, room, isNew ? () => true : isMisestimate, offer);
   }
 
-  private tellOwner(owner: EntryLink, room: Room, isWrong: IsWrong, offer?: number): void {
-    const held = this.host.allocatedTo(owner);
-    const before = this.told.get(owner);
-    if (before && !isNews(room, before, held, isWrong)) return;
-    const value = create(RoomSchema, { ...room, newestOrder: owner.newestOrder });
-    this.told.set(owner, { room: value, held, offer });
-    // What has ended is free in this report, and would be counted twice if it were told later.
-    owner.flushEnds();
-    owner.link.send({ case: 'room', value });
+  private sendIfWrong(entryLink: EntryLink, room: Room, isWrong: IsWrong, offer?: number): void {
+    const allocated = this.backend.allocatedTo(entryLink);
+    const previous = this.sentReports.get(entryLink);
+    if (previous && !needsUpdate(room, previous, allocated, isWrong)) return;
+    const value = create(RoomSchema, { ...room, newestOrder: entryLink.newestOrder });
+    this.sentReports.set(entryLink, { room: value, allocated, offer });
+    // This report includes what ended runs have freed; sending those ends later would count it twice.
+    entryLink.flushEnds();
+    entryLink.link.send({ case: 'room', value });
   }
 
-  private describe(): Room {
-    const life = this.host.current;
-    if (!life) return create(RoomSchema);
-    const { id, born, service, capacity, labels } = life.heartbeat;
+  private currentRoom(): Room {
+    const incarnation = this.backend.current;
+    if (!incarnation) return create(RoomSchema);
+    const { id, born, service, capacity, labels } = incarnation.heartbeat;
     const backend = born === undefined ? id : `${id}@${born}`;
     return create(RoomSchema, {
       backend,
       service,
       total: toAmount(capacity),
-      free: toAmount(life.free),
+      free: toAmount(incarnation.free),
       labels: [...labels],
-      accepting: this.host.isAccepting,
-      slowness: Math.round(stepped(life.health.slowness ?? 0) * THOUSAND),
-      failing: life.health.failureRate >= FAILING,
-      speed: Math.round((this.speedOf(backend, life.health.durations.ratio) ?? 0) * THOUSAND),
+      accepting: this.backend.isAccepting,
+      slowness: Math.round(quantizedSlowness(incarnation.health.slowness ?? 0) * THOUSAND),
+      failing: incarnation.health.failureRate >= MIN_FAILING_RATE,
+      speed: Math.round(
+        (this.ratioToReport(backend, incarnation.health.durations.ratio) ?? 0) * THOUSAND,
+      ),
     });
   }
 
-  private speedOf(backend: string, known: number | undefined): number | undefined {
-    const told = this.speed?.backend === backend ? this.speed.times : undefined;
-    const times = quantizedRatio(told, known);
-    if (times !== told) this.log.info('the speed of the backend server is told', { times, told });
-    this.speed = { backend, times };
-    return times;
+  private ratioToReport(backend: string, measured: number | undefined): number | undefined {
+    const previous = this.reportedRatio?.backend === backend ? this.reportedRatio.ratio : undefined;
+    const ratio = quantizedRatio(previous, measured);
+    if (ratio !== previous)
+      this.log.info('the duration ratio reported to entries has changed', {
+        times: ratio,
+        told: previous,
+      });
+    this.reportedRatio = { backend, ratio };
+    return ratio;
   }
 }
 
-const none = toAmount(Resources.none);
+const noCapacity = toAmount(Resources.none);
 
-/** Whether an entry that believes in so much of one kind of resource is to be told that it is wrong. */
-type IsWrong = (actual: number, believed: number, allowed: number) => boolean;
+/** Whether an entry must be corrected that assumes so much of one kind of resource. */
+type IsWrong = (actual: number, assumed: number, allowed: number) => boolean;
 
-const isTooHigh: IsWrong = (actual, believed, allowed) =>
-  believed - actual > Math.min(allowed, actual * ALLOWED_EXCESS);
+const isOverestimate: IsWrong = (actual, assumed, allowed) =>
+  assumed - actual > Math.min(allowed, actual * MAX_EXCESS_SHARE);
 
-const isOff: IsWrong = (actual, believed, allowed) =>
-  actual - believed > allowed || isTooHigh(actual, believed, allowed);
+const isMisestimate: IsWrong = (actual, assumed, allowed) =>
+  actual - assumed > allowed || isOverestimate(actual, assumed, allowed);
 
-/** Whether an entry that was told `before` and has `held` here now should hear of the room as it is. */
-function isNews(room: Room, before: Told, held: Resources, isWrong: IsWrong): boolean {
-  if (tellings.some((field) => room[field] !== before.room[field])) return true;
-  if (room.labels.join() !== before.room.labels.join()) return true;
+/** Whether an entry with this last report, and these allocations now, needs a new report. */
+function needsUpdate(
+  room: Room,
+  previous: SentReport,
+  allocated: Resources,
+  isWrong: IsWrong,
+): boolean {
+  if (comparedFields.some((field) => room[field] !== previous.room[field])) return true;
+  if (room.labels.join() !== previous.room.labels.join()) return true;
   const total = Resources.of(room.total ?? {});
-  const toldTotal = Resources.of(before.room.total ?? {});
+  const reportedTotal = Resources.of(previous.room.total ?? {});
   const actual = Resources.of(room.free ?? {});
-  const told = Resources.of(before.room.free ?? {});
-  return kinds.some((kind) => {
-    if (total[kind] !== toldTotal[kind]) return true;
-    const own = before.room.inTurns ? 0 : before.held[kind] - held[kind];
-    return isWrong(actual[kind], told[kind] + own, total[kind] * ALLOWED_SHARE);
+  const reported = Resources.of(previous.room.free ?? {});
+  return resourceKinds.some((kind) => {
+    if (total[kind] !== reportedTotal[kind]) return true;
+    const ownChange = previous.room.inTurns ? 0 : previous.allocated[kind] - allocated[kind];
+    return isWrong(actual[kind], reported[kind] + ownChange, total[kind] * MAX_ERROR_SHARE);
   });
 }
 
-/** What a report tells besides amounts and labels. */
-const tellings = ['backend', 'service', 'accepting', 'slowness', 'failing', 'speed'] as const;
+/** Fields of a report other than amounts and labels. */
+const comparedFields = ['backend', 'service', 'accepting', 'slowness', 'failing', 'speed'] as const;
 
-const kinds = ['cpuMilli', 'memoryMb', 'accelerators'] as const;
+const resourceKinds = ['cpuMilli', 'memoryMb', 'accelerators'] as const;
 
 /**
- * Coarse steps, so that small changes make no message: powers of the square root of two from twice
- * the estimates on. Less than that is the error of the estimates, and decides nothing.
+ * Rounds to coarse steps, so that small changes cause no message: powers of the square root of two, from twice
+ * the estimates on. Lower values are within the error of the estimates and affect no decision.
  */
-function stepped(slowness: number): number {
+function quantizedSlowness(slowness: number): number {
   if (slowness <= 0) return 0;
   if (slowness < 2) return 1;
   return 2 ** (Math.round(2 * Math.log2(slowness)) / 2);
@@ -199,11 +219,14 @@
 
 const THOUSAND = 1000;
 
-/** Share of failures from which a backend server is called failing; a failing one soon has all. */
-const FAILING = 0.5;
+/** Failure rate from which a backend server is reported as failing; a failing one soon reaches 1. */
+const MIN_FAILING_RATE = 0.5;
 
-/** By how much of what is left an entry may believe in more: of the last few tasks' room it has to know exactly. */
-const ALLOWED_EXCESS = 0.5;
+/**
+ * By how much an entry may overestimate free capacity, as a share of what is left: near the limit it has to be
+ * exact to the last few tasks.
+ */
+const MAX_EXCESS_SHARE = 0.5;
 
-/** By how much of the whole an entry's belief may be wrong: one large task. */
-const ALLOWED_SHARE = 0.2;
+/** By how much an entry's view may be wrong, as a share of the total: one large task. */
+const MAX_ERROR_SHARE = 0.2;
--- a/src/runs/EntryLink.ts
+++ b/src/runs/EntryLink.ts
@@ -20,169 +20,174 @@
 import type StopRequest from './StopRequest';
 import type EventLog from '../observe/EventLog';
 
-interface OwnerLinkOptions {
+interface EntryLinkOptions {
   readonly timer: TimerService;
-  readonly host: LocalBackend;
+  readonly backend: LocalBackend;
   readonly link: Link;
   readonly log: EventLog;
-  /** Whether entries wait for room here, so that each end is of use at once. */
-  readonly isRoomShort: () => boolean;
-  /** Told of each order that was refused. */
-  readonly refused: () => void;
-  /** Counts orders that are over, by outcome. */
+  /** Whether entries wait for capacity here, so that the end of each run is needed without delay. */
+  readonly isCapacityScarce: () => boolean;
+  /** Called for each start request that was refused. */
+  readonly onRefusal: () => void;
+  /** Counts ended start requests, by outcome. */
   readonly outcomes: Map<string, number>;
-  /** Counts runs that were stopped and are over, by cause. */
+  /** Counts runs that were stopped and have ended, by cause. */
   readonly stops: Map<string, number>;
 }
 
 /**
- * One entry's link, with the runs that it has ordered. They are the entry's only as long as it is
- * known to be awake: each of its pulses returns a reading of this process's clock, which proves that
- * the entry was awake after that. When the proof grows old, the runs are stopped, since the caller
- * may be about to submit its job to another entry.
+ * The link to one entry, with the runs that the entry has requested. They go on only while the entry is known
+ * to be alive: each of its pulses echoes a reading of this process's clock, which proves that the entry was
+ * alive after that time. When the proof becomes too old, the runs are stopped, since the caller may be about to
+ * resubmit its job to another entry.
  */
 export default class EntryLink implements RunOwner {
-  /** The newest order number that has arrived. */
+  /** The highest request number received. */
   newestOrder = 0;
 
-  /** The newest time at which the entry was surely awake, by this process's clock; none before the first. */
+  /**
+   * The latest time at which the entry is known to have been alive, by this process's clock; undefined before
+   * the first proof.
+   */
   private confirmedAt: number | undefined;
 
-  /** Pulses sent before this prove nothing: this process may have been suspended. */
-  private doubtedUntil = -Infinity;
+  /** Echoes of readings before this time prove nothing: this process may have been suspended. */
+  private ignoreEchoesBefore = -Infinity;
 
-  private heardMs = 0;
+  private entryClockMs = 0;
 
-  /** When the runs are stopped unless the entry is confirmed before. */
-  private limit: Subscription | undefined;
+  /** Stops the runs unless the entry is confirmed alive before. */
+  private silenceTimer: Subscription | undefined;
 
-  /** When the last pulse was sent, and whether it went along with something else. */
+  /** When the last pulse was sent, and whether it was piggybacked on another message. */
   private pulsedAt = -Infinity;
 
-  private wentAlong = false;
+  private wasPiggybacked = false;
 
-  /** The next pulse, when it is due between two turns of all. */
-  private nextPulse: Subscription | undefined;
+  /** The next pulse, if it is due between two calls of `checkAndPulse`. */
+  private pulseTimer: Subscription | undefined;
 
   private readonly openedAt: number;
 
   private isClosed = false;
 
-  private readonly ends: RunEndReports;
+  private readonly endReports: RunEndReports;
 
-  private constructor(private readonly opts: OwnerLinkOptions) {
+  private constructor(private readonly opts: EntryLinkOptions) {
     this.openedAt = opts.timer.now();
-    this.ends = RunEndReports.create(opts.timer, opts.link);
+    this.endReports = RunEndReports.create(opts.timer, opts.link);
   }
 
-  /** Begins to confirm that the entry is awake. */
-  static open(opts: OwnerLinkOptions): EntryLink {
-    const owner = new EntryLink(opts);
-    owner.sendPulse();
-    return owner;
+  /** Opens the link and sends the first pulse. */
+  static open(opts: EntryLinkOptions): EntryLink {
+    const entryLink = new EntryLink(opts);
+    entryLink.sendPulse();
+    return entryLink;
   }
 
   get link(): Link {
     return this.opts.link;
   }
 
-  /** The entry's run of its process. */
+  /** The entry's process incarnation. */
   get incarnation(): string {
     return this.opts.link.peer.incarnation;
   }
 
-  /** Whether the entry's orders may be carried out now. */
+  /** Whether start requests of the entry may be executed now. */
   get isConfirmed(): boolean {
     const { confirmedAt } = this;
-    if (this.isClosed || confirmedAt === undefined || confirmedAt < this.doubtedUntil) return false;
+    if (this.isClosed || confirmedAt === undefined || confirmedAt < this.ignoreEchoesBefore)
+      return false;
     return this.opts.timer.now() - confirmedAt < pulseTimings.ownerSilenceMs;
   }
 
   /**
-   * This process may have been suspended: nothing is started for the entry before a new confirmation. How long it has
-   * been silent is not counted anew, since callers may be about to turn to others all the same.
+   * This process may have been suspended: nothing is started for the entry before it is confirmed alive again.
+   * The time that it has been unresponsive is not reset, since its callers may be about to turn to other
+   * entries all the same.
    */
   requireConfirmation(): void {
-    this.doubtedUntil = this.opts.timer.now();
+    this.ignoreEchoesBefore = this.opts.timer.now();
     this.stopIfSilent();
     this.sendPulse();
   }
 
   /**
-   * Asks whether the entry is awake, and stops its runs when the last answer is too old. To be called
-   * at the interval of pulses. One that went along with something else a short time ago serves as well.
+   * Sends a pulse and stops the entry's runs when its last answer is too old. Call it once per pulse interval.
+   * A pulse that was piggybacked a short time ago replaces this one.
    */
-  pulse(): void {
+  checkAndPulse(): void {
     this.stopIfSilent();
-    if (Math.min(this.silentMs, this.sinceDoubtMs) >= pulseTimings.closeMs) {
+    if (Math.min(this.silentMs, this.sincePauseMs) >= pulseTimings.closeMs) {
       this.opts.link.close(true);
       return;
     }
-    if (this.wentAlong) this.pulseAfter(this.pulsedAt + pulseTimings.intervalMs);
+    if (this.wasPiggybacked) this.schedulePulse(this.pulsedAt + pulseTimings.intervalMs);
     else this.sendPulse();
-    this.awaitLimit();
+    this.scheduleSilenceCheck();
   }
 
-  /** Something is being sent to the entry: a pulse in the same frame spares one by itself. */
-  private pulseAlong(): void {
-    if (this.opts.timer.now() - this.pulsedAt < ALONG_MS) return;
+  /** Another message is being sent to the entry: a pulse in the same frame saves a separate one. */
+  private piggybackPulse(): void {
+    if (this.opts.timer.now() - this.pulsedAt < MIN_PIGGYBACK_INTERVAL_MS) return;
     this.sendPulse();
-    this.wentAlong = true;
+    this.wasPiggybacked = true;
   }
 
-  private pulseAfter(dueAt: number): void {
+  private schedulePulse(dueAt: number): void {
     const { timer } = this.opts;
-    this.nextPulse?.cancel();
-    this.nextPulse = timer.after(dueAt - timer.now(), () => this.sendPulse());
+    this.pulseTimer?.cancel();
+    this.pulseTimer = timer.after(dueAt - timer.now(), () => this.sendPulse());
   }
 
-  /** How long the entry has not been confirmed to be awake, ms; infinite once the link has ended. */
+  /** Time since the entry was last known to be alive, ms; infinite once the link has ended. */
   get silentMs(): number {
     if (this.isClosed) return Infinity;
     return this.opts.timer.now() - (this.confirmedAt ?? this.openedAt);
   }
 
-  /** Time for the entry to answer since this process was held up, ms. */
-  private get sinceDoubtMs(): number {
-    return this.opts.timer.now() - this.doubtedUntil;
+  /** Time that the entry has had to answer since this process was paused, ms. */
+  private get sincePauseMs(): number {
+    return this.opts.timer.now() - this.ignoreEchoesBefore;
   }
 
-  /** The proof may grow too old between two pulses: that is seen when it does. */
-  private awaitLimit(): void {
+  /** The proof may expire between two pulses; the timer notices that in time. */
+  private scheduleSilenceCheck(): void {
     const leftMs = pulseTimings.ownerSilenceMs - this.silentMs;
     if (leftMs <= 0 || leftMs >= pulseTimings.intervalMs) return;
-    this.limit = this.opts.timer.after(leftMs, () => this.stopIfSilent());
+    this.silenceTimer = this.opts.timer.after(leftMs, () => this.stopIfSilent());
   }
 
   private stopIfSilent(): void {
-    const { host, link, log } = this.opts;
+    const { backend, link, log } = this.opts;
     const { silentMs } = this;
     if (silentMs < pulseTimings.ownerSilenceMs) return;
-    log.warn('an entry is silent: its runs are stopped', {
+    log.warn('an entry is unresponsive: its runs are stopped', {
       entry: link.peer.instance,
       silentMs: Math.round(silentMs),
     });
-    host.stop(this, 'entry_silent');
+    backend.stop(this, 'entry_silent');
   }
 
-  /** Takes the entry's pulse. */
+  /** Handles a pulse of the entry. */
   handlePulse({ sentMs, echoMs }: Pulse): void {
-    this.heardMs = Math.max(this.heardMs, sentMs);
-    if (echoMs <= 0 || echoMs < this.doubtedUntil) return;
+    this.entryClockMs = Math.max(this.entryClockMs, sentMs);
+    if (echoMs <= 0 || echoMs < this.ignoreEchoesBefore) return;
     this.confirmedAt = Math.max(this.confirmedAt ?? 0, echoMs);
   }
 
-  /** Has orders carried out, or refused. */
-  start(orders: StartRuns): void {
-    const { batch, service, spec, runs } = orders;
-    runs.forEach((order) => {
+  /** Executes or refuses the start requests of a message. */
+  start(message: StartRuns): void {
+    const { batch, service, spec, runs } = message;
+    runs.forEach((run) => {
       const { number, step, index, needs, estimateMs, attempt, mostTogether, label, suspicion } =
-        order;
+        run;
       const task = { batch, step, index };
       this.newestOrder = Math.max(this.newestOrder, number);
-      const ended = (end: RunEnd, stop?: StopRequest): void => this.report(task, end, stop);
+      const onEnded = (end: RunEnd, stop?: StopRequest): void => this.report(task, end, stop);
       const amount = Resources.of(needs ?? {});
-      this.opts.host.start(
+      this.opts.backend.start(
         {
           batch,
           service,
@@ -197,22 +202,22 @@
           suspicion,
           needs: amount,
           owner: this,
-          ended,
+          onEnded,
         },
         (reason) => this.refuse(task, number, reason),
       );
     });
   }
 
-  /** Stops runs that the entry no longer wants. */
+  /** Stops runs that the entry no longer needs. */
   stop({ numbers }: StopRuns): void {
     const wanted = new Set(numbers);
-    this.opts.host.stop(this, 'asked', ({ number }) => wanted.has(number));
+    this.opts.backend.stop(this, 'asked', ({ number }) => wanted.has(number));
   }
 
-  /** Tells the entry of ends that have waited: it is about to reckon with its room here. */
+  /** Sends the ends that were delayed: the entry is about to calculate with its capacity here. */
   flushEnds(): void {
-    this.ends.flush();
+    this.endReports.flush();
   }
 
   /** Tells the entry that nothing of its earlier links is left here. */
@@ -220,20 +225,20 @@
     this.opts.link.send({ case: 'cleared', value: create(ClearedSchema) });
   }
 
-  /** The link has ended: everything that the entry ordered over it is stopped. */
+  /** The link has ended: all runs that were requested over it are stopped. */
   close(): void {
     this.isClosed = true;
-    this.limit?.cancel();
-    this.nextPulse?.cancel();
-    this.opts.host.stop(this, 'link_ended');
+    this.silenceTimer?.cancel();
+    this.pulseTimer?.cancel();
+    this.opts.backend.stop(this, 'link_ended');
   }
 
   private sendPulse(): void {
-    this.nextPulse?.cancel();
-    this.ends.flush();
+    this.pulseTimer?.cancel();
+    this.endReports.flush();
     this.pulsedAt = this.opts.timer.now();
-    this.wentAlong = false;
-    const value = create(PulseSchema, { sentMs: this.opts.timer.now(), echoMs: this.heardMs });
+    this.wasPiggybacked = false;
+    const value = create(PulseSchema, { sentMs: this.opts.timer.now(), echoMs: this.entryClockMs });
     this.opts.link.send({ case: 'pulse', value });
   }
 
@@ -242,12 +247,12 @@
   }
 
   /**
-   * A step is over with its last task, so the end of one whose companions still run here opens nothing. It is told with
-   * the next, unless its room is needed.
+   * A step ends with its last task, so an end unblocks nothing while other tasks of the step run here. It is
+   * sent with the next end, unless its capacity is needed.
    */
-  private mayWait({ batch, step }: Task, outcome: RunOutcome): boolean {
-    const { host, isRoomShort } = this.opts;
-    return outcome === RunOutcome.DONE && !isRoomShort() && host.hasRunsOfStep(batch, step);
+  private isDelayable({ batch, step }: Task, outcome: RunOutcome): boolean {
+    const { backend, isCapacityScarce } = this.opts;
+    return outcome === RunOutcome.DONE && !isCapacityScarce() && backend.hasRunsOfStep(batch, step);
   }
 
   private report(task: Task, end: RunEnd, stop?: StopRequest): void {
@@ -255,14 +260,14 @@
     const outcome = RunOutcome[end.outcome].toLowerCase();
     outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1);
     if (stop) stops.set(stop.cause, (stops.get(stop.cause) ?? 0) + 1);
-    if (stop || end.outcome !== RunOutcome.DONE) this.note(task, end, outcome, stop);
-    const mayWait = this.mayWait(task, end.outcome);
-    this.ends.add(end, mayWait);
-    if (!mayWait) this.pulseAlong();
-    if (end.outcome === RunOutcome.REFUSED) this.opts.refused();
+    if (stop || end.outcome !== RunOutcome.DONE) this.logEnd(task, end, outcome, stop);
+    const isDelayable = this.isDelayable(task, end.outcome);
+    this.endReports.add(end, isDelayable);
+    if (!isDelayable) this.piggybackPulse();
+    if (end.outcome === RunOutcome.REFUSED) this.opts.onRefusal();
   }
 
-  private note(
+  private logEnd(
     { batch, step, index }: Task,
     end: RunEnd,
     outcome: string,
@@ -285,12 +290,12 @@
   }
 }
 
-/** What an order is for. */
+/** The task of a start request. */
 interface Task {
   readonly batch: string;
   readonly step: number;
   readonly index: number;
 }
 
-/** The shortest time between a pulse and one that goes along with something else, ms: two serve no better. */
-const ALONG_MS = 250;
+/** Minimum time between a pulse and a piggybacked one, ms: sending both would be redundant. */
+const MIN_PIGGYBACK_INTERVAL_MS = 250;
--- a/src/runs/IncarnationClient.ts
+++ b/src/runs/IncarnationClient.ts
@@ -9,35 +9,38 @@
 import taskKey from './taskKey';
 
 /**
- * The calls to one life of a backend server. Its address and id may be the next life's too, so an answer that says
- * when the answering life started is held against this one's start, and it is remembered which starts the next life
- * may still carry out. Of a life that doesn't tell when it started nothing is remembered: its id is its own.
+ * Client of one incarnation of a backend server. The next incarnation may have the same address and id, so the start
+ * time in an answer is compared with that of this incarnation, and starts that the next one may still execute are
+ * remembered. For an incarnation that does not report its start time nothing is remembered: its id is unique.
  */
 export default class IncarnationClient implements BackendRunClient {
-  /** By task, starts that were sent and have had no answer. */
-  private readonly unanswered = new Map<string, number>();
+  /** Sent starts without an answer, counted by task. */
+  private readonly unansweredStarts = new Map<string, number>();
 
-  /** What this life has listed last. */
-  private listed: BackendPollResult['running'] = [];
+  /** The runs that this incarnation listed last. */
+  private lastListed: BackendPollResult['running'] = [];
 
-  /** Whether this life was there when a call was made: what answers one later was there after it. */
-  private isShown = false;
+  /** Whether this incarnation has answered: another one that answers after that came later. */
+  private hasAnswered = false;
 
-  private nextBorn: number | undefined;
+  private answeringBorn: number | undefined;
 
   private constructor(
     private readonly backend: BackendRunClient,
     private readonly born: number | undefined,
   ) {}
 
-  /** Wraps the calls to the life that started then, ms since 1970, if it tells. */
+  /** Wraps the client of the incarnation that started at `born`, ms since 1970, if it reports that. */
   static of(backend: BackendRunClient, born: number | undefined): IncarnationClient {
     return new IncarnationClient(backend, born);
   }
 
-  /** When the life started that has answered in place of this one, as it tells; its clock may have been set back. */
+  /**
+   * Reported start time of the incarnation that has answered in place of this one; its wall clock may have been
+   * set back.
+   */
   get successorBorn(): number | undefined {
-    return this.nextBorn;
+    return this.answeringBorn;
   }
 
   start(
@@ -50,14 +53,14 @@
     const answer = this.backend.start(run, spec, leaseUntil, token, timeoutMs);
     if (this.born === undefined) return answer;
     const key = taskKey(run);
-    this.count(key, 1);
+    this.countUnanswered(key, 1);
     return answer
       .map((value) => {
-        this.count(key, -1);
+        this.countUnanswered(key, -1);
         return value;
       })
       .mapErr((failure) => {
-        if (failure.kind !== 'unanswered') this.count(key, -1);
+        if (failure.kind !== 'unanswered') this.countUnanswered(key, -1);
         return failure;
       });
   }
@@ -75,48 +78,56 @@
   ): ResultAsync<BackendPollResult, BackendRunFailure> {
     return this.backend
       .poll(seenEnd, token, waitMs, timeoutMs, leaseUntil)
-      .andThen((answer) => this.ofThisLife(answer));
+      .andThen((answer) => this.checkIncarnation(answer));
   }
 
   /**
-   * Whether a run of this life may go on after its end, or the next life may start it, or has done so. Nothing
-   * ends those of a life that is given up here but their lease. While nothing listens, that is so for orders
-   * without an answer. When the next life is there, it may also have given the answer, so only a run that this life
-   * has listed is known to have been here.
+   * Whether a run of this incarnation may go on after its end, or may be started by the next incarnation, or
+   * was. When the incarnation is given up here, only the lease ends its runs. While nothing listens, only
+   * unanswered starts are in doubt. Once the next incarnation is there, it may have given any answer, so only a
+   * run that this one has listed is known to have been here.
    */
   mayOutlive({ run }: RunState, how: IncarnationEnd): boolean {
     if (how === 'abandoned' || how === 'displaced') return true;
     if (this.born === undefined || how === 'replaced') return false;
     const key = taskKey(run);
-    if (this.unanswered.has(key)) return true;
-    return how === 'reborn' && !this.listed.some((listed) => taskKey(listed.run) === key);
+    if (this.unansweredStarts.has(key)) return true;
+    return how === 'reborn' && !this.lastListed.some((listed) => taskKey(listed.run) === key);
   }
 
-  private ofThisLife(answer: BackendPollResult): Result<BackendPollResult, BackendRunFailure> {
+  private checkIncarnation(
+    answer: BackendPollResult,
+  ): Result<BackendPollResult, BackendRunFailure> {
     const { born } = answer;
     if (this.born !== undefined && born !== undefined && born !== this.born) {
-      if (born < this.born && !this.isShown) return err(LATE);
-      this.nextBorn = born;
-      return err(REBORN);
+      if (born < this.born && !this.hasAnswered) return err(FROM_EARLIER_INCARNATION);
+      this.answeringBorn = born;
+      return err(RESTARTED);
     }
-    this.isShown = true;
-    this.listed = answer.running;
+    this.hasAnswered = true;
+    this.lastListed = answer.running;
     return ok(answer);
   }
 
-  private count(key: string, change: number): void {
-    const count = (this.unanswered.get(key) ?? 0) + change;
-    if (count <= 0) this.unanswered.delete(key);
-    else this.unanswered.set(key, count);
-    if (this.unanswered.size <= REMEMBERED_TASKS) return;
-    const [oldest] = this.unanswered.keys();
-    if (oldest !== undefined) this.unanswered.delete(oldest);
+  private countUnanswered(key: string, change: number): void {
+    const count = (this.unansweredStarts.get(key) ?? 0) + change;
+    if (count <= 0) this.unansweredStarts.delete(key);
+    else this.unansweredStarts.set(key, count);
+    if (this.unansweredStarts.size <= MAX_REMEMBERED_TASKS) return;
+    const [oldest] = this.unansweredStarts.keys();
+    if (oldest !== undefined) this.unansweredStarts.delete(oldest);
   }
 }
 
-const REBORN: BackendRunFailure = { kind: 'reborn', reason: 'it has started again under its id' };
+const RESTARTED: BackendRunFailure = {
+  kind: 'reborn',
+  reason: 'it has started again under its id',
+};
 
-const LATE: BackendRunFailure = { kind: 'unanswered', reason: 'an earlier life has answered' };
+const FROM_EARLIER_INCARNATION: BackendRunFailure = {
+  kind: 'unanswered',
+  reason: 'an earlier life has answered',
+};
 
-/** Tasks whose starts without an answer are remembered: far more than run at once, since some stay for good. */
-const REMEMBERED_TASKS = 1_000;
+/** Tasks whose unanswered starts are remembered: far more than run at once, since some stay for good. */
+const MAX_REMEMBERED_TASKS = 1_000;
--- a/src/sharing/DecayingRate.ts
+++ b/src/sharing/DecayingRate.ts
@@ -1,29 +1,29 @@
-/** How much of something comes in a second, by what came lately: older amounts fade exponentially. */
+/** Rate of amounts per second, in which older amounts decay exponentially. */
 export default class DecayingRate {
   private sum = 0;
 
-  private at = 0;
+  private updatedAt = 0;
 
-  private constructor(private readonly fadeMs: number) {}
+  private constructor(private readonly timeConstantMs: number) {}
 
-  /** Creates a rate of nothing, in which an amount fades to a third within the time, ms. */
-  static withTimeConstant(fadeMs: number): DecayingRate {
-    return new DecayingRate(fadeMs);
+  /** Creates a rate of zero, in which an amount decays to a third within the time, ms. */
+  static withTimeConstant(timeConstantMs: number): DecayingRate {
+    return new DecayingRate(timeConstantMs);
   }
 
-  /** Takes note of an amount. */
+  /** Adds an amount. */
   add(amount: number, now: number): void {
-    this.sum = this.faded(now) + amount;
-    this.at = now;
+    this.sum = this.decayedSum(now) + amount;
+    this.updatedAt = now;
   }
 
-  /** The amount a second. */
+  /** The amount per second. */
   perSecond(now: number): number {
-    return (this.faded(now) / this.fadeMs) * SECOND_MS;
+    return (this.decayedSum(now) / this.timeConstantMs) * SECOND_MS;
   }
 
-  private faded(now: number): number {
-    return this.sum * Math.exp((this.at - now) / this.fadeMs);
+  private decayedSum(now: number): number {
+    return this.sum * Math.exp((this.updatedAt - now) / this.timeConstantMs);
   }
 }
 
--- a/test/support/RunCase.ts
+++ b/test/support/RunCase.ts
@@ -8,21 +8,21 @@
 
 type Work = Parameters<typeof LeasedBackend.create>[0]['work'];
 
-/** A sidecar's dealings with its backend server, with the ends it reports. */
+/** A sidecar's side of its backend server, with the ends that it reports. */
 export default class RunCase {
-  /** What became of each order: "task outcome". */
+  /** The outcome of each start request: "task outcome". */
   readonly ends: string[] = [];
 
-  /** Lines of the log. */
+  /** Log records. */
   readonly logRecords: Readonly<Record<string, unknown>>[] = [];
 
   readonly owner = { isConfirmed: true, silentMs: 0 };
 
   readonly host: LocalBackend;
 
-  private readonly lives = new Map<string, LeasedBackend>();
+  private readonly backends = new Map<string, LeasedBackend>();
 
-  private numbers = 0;
+  private startCount = 0;
 
   private constructor(readonly timer: ManualTimer) {
     const note = (message: string, fields: Readonly<Record<string, unknown>>): void => {
@@ -30,13 +30,13 @@
     };
     this.host = LocalBackend.create({
       timer: this.timer,
-      connect: ({ id }): BackendRunClient => this.lives.get(id)!,
+      connect: ({ id }): BackendRunClient => this.backends.get(id)!,
       log: { info: note, warn: note },
-      changed: () => undefined,
+      onChange: () => undefined,
     });
   }
 
-  /** A sidecar whose backend server has announced itself and takes tasks. */
+  /** Creates a sidecar whose backend server has announced itself and accepts tasks. */
   static async open(work?: Work, born?: number) {
     const runCase = new RunCase(ManualTimer.create());
     const backend = runCase.addIncarnation('b1', work, born);
@@ -45,28 +45,28 @@
     return { runCase, backend };
   }
 
-  /** A sidecar that starts anew beside a backend server that is there already. */
+  /** Creates a sidecar that starts beside a backend server which is already running. */
   static restartSidecar(backend: LeasedBackend, timer: ManualTimer): RunCase {
     const runCase = new RunCase(timer);
-    runCase.lives.set('b1', backend);
+    runCase.backends.set('b1', backend);
     runCase.host.handleHeartbeat(backend.report());
     return runCase;
   }
 
-  /** Adds a life of the backend server, which has not announced itself. */
+  /** Adds an incarnation of the backend server, which has not announced itself. */
   addIncarnation(id: string, work?: Work, born?: number): LeasedBackend {
     const backend = LeasedBackend.create({ timer: this.timer, id, work, born });
-    this.lives.set(id, backend);
+    this.backends.set(id, backend);
     return backend;
   }
 
-  /** Orders tasks of four cores and the given time each; the backend server has room for four. */
+  /** Requests tasks of four cores and the given time each; the backend server has capacity for four. */
   startTasks(batch: string, count = 1, change: Partial<RunRequest> = {}): void {
-    for (let index = 0; index < count; index += 1) this.orderOne(batch, index, change);
+    for (let index = 0; index < count; index += 1) this.startTask(batch, index, change);
   }
 
-  private orderOne(batch: string, index: number, change: Partial<RunRequest>): void {
-    this.numbers += 1;
+  private startTask(batch: string, index: number, change: Partial<RunRequest>): void {
+    this.startCount += 1;
     const request: RunRequest = {
       ...{ batch, step: 0, index, service: 'booking', spec: '300', estimateMs: 300 },
       ...{
@@ -74,11 +74,11 @@
         mostTogether: 0,
         label: '',
         suspicion: 0,
-        number: this.numbers,
+        number: this.startCount,
         owner: this.owner,
       },
       needs: Resources.of({ cpuMilli: 4_000, memoryMb: 64 }),
-      ended: ({ outcome }: RunEnd) => this.ends.push(`${batch}.${index} ${RunOutcome[outcome]}`),
+      onEnded: ({ outcome }: RunEnd) => this.ends.push(`${batch}.${index} ${RunOutcome[outcome]}`),
       ...change,
     };
     this.host.start(request, (reason) => this.ends.push(`${batch}.${index} ${reason}`));
