--- a/src/claims/BatchClaims.ts
+++ b/src/claims/BatchClaims.ts
@@ -28,39 +28,40 @@
   readonly metrics?: Metrics;
   readonly instance: string;
   readonly incarnation: string;
-  /** Other entries that sidecars know to be awake, some more than once; undefined while none has told. */
+  /** Entries that sidecars know to be alive, some more than once; undefined until a sidecar has reported. */
   readonly liveEntries: () => readonly SeenEntry[] | undefined;
 }
 
-/** What comes of settling a claim: `held`, or the answer of the entry that holds the batch. */
-type Settled = 'held' | BatchFollowed;
+/** Result of acquiring a claim: `held`, or the answer for a batch that is not run here. */
+type AcquireResult = 'held' | BatchFollowed;
 
 /**
- * Makes sure that one entry at a time runs a batch, whenever and wherever its caller sends it again. Before an entry
- * runs a batch it claims it at three registrars, and needs the word of two, so any two claims meet at one. When
- * another entry holds the batch, its answer is waited for; when that has nothing left of it, or is gone for so long
- * that its runs are over, the claim is made again. What cannot be found out ends as unknown, and is not run.
+ * Ensures that only one entry at a time runs a batch, no matter when and to which entry its caller resubmits it. Before
+ * an entry runs a batch, it requests a claim from three registrars and needs the consent of two, so any two claims share
+ * a registrar. When another entry holds the batch, this one waits for its answer. When the holder has ended its claim,
+ * or has been gone for so long that its runs have ended, the claim is requested again. If the state of the batch cannot
+ * be determined, it is answered as unknown and not run.
  */
 export default class BatchClaims {
   private readonly startedAt: number;
 
   private readonly registrars: Registrars;
 
-  private readonly own = new Map<string, LocalClaim>();
+  private readonly localClaims = new Map<string, LocalClaim>();
 
-  private readonly held: HeldClaimRenewer;
+  private readonly renewer: HeldClaimRenewer;
 
-  private readonly otherHolder: ConflictResolver;
+  private readonly conflictResolver: ConflictResolver;
 
-  /** Ends the wait for the links that the process opens at its start. */
-  private readonly settled = new AbortController();
+  /** Aborted to end the wait for the links that the process opens at its start. */
+  private readonly linksReady = new AbortController();
 
   private constructor(private readonly opts: ClaimsOptions) {
     this.startedAt = opts.timer.now();
     this.registrars = Registrars.create(opts.timer, opts, opts.liveEntries);
-    const { registrars, own } = this;
-    this.held = HeldClaimRenewer.create({ ...opts, registrars, localClaims: own });
-    this.otherHolder = ConflictResolver.create({ ...opts, registrars });
+    const { registrars, localClaims } = this;
+    this.renewer = HeldClaimRenewer.create({ ...opts, registrars, localClaims });
+    this.conflictResolver = ConflictResolver.create({ ...opts, registrars });
   }
 
   /** Creates the claims of an entry that is not linked to others yet. */
@@ -68,32 +69,32 @@
     return new BatchClaims(opts);
   }
 
-  /** The newest claim made here. */
+  /** The newest claim made by this entry. */
   get newestClaim(): BatchHolder {
     return this.registrars.newestClaim;
   }
 
-  /** A link to another entry has opened: batches that it is a registrar of are claimed there too. */
+  /** Handles a new link to another entry: batches of which it is a registrar are claimed there too. */
   linkOpened(link: Link): void {
     if (!link.peer.claims) return;
     this.registrars.peers.add(link);
-    this.held.renew();
+    this.renewer.renew();
   }
 
-  /** A link to another entry has ended: what was claimed there is claimed at the next in its place. */
+  /** Handles the end of a link to another entry: what was claimed there is claimed at its replacement. */
   linkEnded(link: Link): void {
     if (!link.peer.claims) return;
     this.registrars.peers.remove(link);
-    this.own.forEach(({ registrars }) => registrars.delete(link.peer.instance));
-    this.held.renew();
+    this.localClaims.forEach(({ registrars }) => registrars.delete(link.peer.instance));
+    this.renewer.renew();
   }
 
-  /** Links to all other entries that can be reached are open: from now on claims are made. */
+  /** Allows claims to be made, as links to all reachable entries are open. */
   startupLinksOpened(): void {
-    this.settled.abort();
+    this.linksReady.abort();
   }
 
-  /** Opens the claim of a batch that has arrived; to be settled before any of it runs. */
+  /** Opens the claim of a batch that has arrived; it has to be acquired before any of the batch runs. */
   open(opts: Pick<LocalClaim, 'batch' | 'keptMs' | 'contested' | 'lost'>): LocalClaim {
     const claim: LocalClaim = {
       ...opts,
@@ -106,113 +107,119 @@
       isContested: false,
       unreachableSince: undefined,
     };
-    this.own.set(opts.batch, claim);
+    this.localClaims.set(opts.batch, claim);
     return claim;
   }
 
-  /** The batch has its answer. */
+  /** Closes the claim of a batch that has been answered. */
   close(claim: LocalClaim): void {
-    if (this.own.get(claim.batch) === claim) this.own.delete(claim.batch);
+    if (this.localClaims.get(claim.batch) === claim) this.localClaims.delete(claim.batch);
   }
 
-  /** Resolves once the batch may be run here, or to what became of it elsewhere. Ends early when `done` aborts. */
-  async acquire(claim: LocalClaim, done: AbortSignal): Promise<Settled> {
+  /** Resolves to `held` once the batch may be run here, or to its answer if it is not. Ends early when `done` aborts. */
+  async acquire(claim: LocalClaim, done: AbortSignal): Promise<AcquireResult> {
     const { timer } = this.opts;
-    await this.linksOpen(done);
+    await this.waitForStartupLinks(done);
     const startedAt = timer.now();
     for (let rounds = 1; ; rounds += 1) {
-      // What others say may be outdated for as long as messages take.
-      if (rounds > 2) await timer.sleep(claimLimits.retryMs, done);
-      const conflict = await this.conflictOf(claim);
-      if (done.aborted) return unknown('its caller is gone');
-      // Another claimant may have been let pass since the registrars answered.
-      if (!conflict && !claim.yieldedTo) return this.hold(claim, rounds);
+      // Answers of others may be out of date by the time they arrive.
+      if (rounds > 2) await timer.sleep(claimLimits.retryDelayMs, done);
+      const conflict = await this.findConflict(claim);
+      if (done.aborted) return unknownOutcome('its caller is gone');
+      // Another claimant may have been given precedence since the registrars answered.
+      if (!conflict && !claim.yieldedTo) return this.markHeld(claim, rounds);
       const answer =
         !conflict || conflict === 'unclear'
-          ? this.giveUpAfter(startedAt + claimLimits.unansweredMs, claim)
-          : await this.otherHolder.resolve(conflict, claim, done);
+          ? this.outcomeIfTimedOut(startedAt + claimLimits.quorumTimeoutMs, claim)
+          : await this.conflictResolver.resolve(conflict, claim, done);
       claim.state = 'claiming';
       claim.holder = undefined;
       if (answer) return answer;
     }
   }
 
-  /** Whether an entry that asks for a batch that is open here waits for it, takes it over, or asks another entry. */
+  /**
+   * Decides what an entry that asks for a batch open here does: `wait` for it, `take` it over, or ask the entry returned.
+   */
   decideFollow(
     asker: Link,
     { batch, claim: number, isHeld }: FollowBatch,
   ): 'wait' | 'take' | BatchHolder {
-    const claim = this.own.get(batch);
+    const claim = this.localClaims.get(batch);
     if (!claim || claim.state === 'held') return 'wait';
     const { instance, incarnation } = asker.peer;
     if (claim.state === 'following') {
       return claim.holder && claim.holder.incarnation !== incarnation ? claim.holder : 'take';
     }
-    // Of two entries that claim a batch at the same time, the one whose name comes first goes on.
+    // Of two entries that claim a batch at the same time, the one whose instance name sorts first has precedence.
     if (!isHeld && this.opts.instance < instance) return 'wait';
     claim.yieldedTo = create(BatchHolderSchema, { instance, incarnation, claim: number });
     return 'take';
   }
 
-  /** Takes the claim of another entry, as a registrar. */
+  /** Handles another entry's claim, as a registrar. */
   handleClaim(link: Link, claim: ClaimBatch): void {
     link.send({ case: 'batchClaimed', value: this.registrars.recordClaim(link.peer, claim) });
   }
 
-  /** Takes a registrar's answer. */
+  /** Handles a registrar's answer. */
   handleClaimResponse(link: Link, answer: BatchClaimed): void {
     this.registrars.peers.byLink(link)?.handleClaimResponse(answer);
   }
 
-  /** Takes a holder's answer. */
+  /** Handles a holder's answer. */
   handleFollowResponse(link: Link, state: BatchFollowed): void {
     this.registrars.peers.byLink(link)?.handleFollowResponse(state);
   }
 
-  private hold(claim: LocalClaim, rounds: number): 'held' {
+  private markHeld(claim: LocalClaim, rounds: number): 'held' {
     claim.state = 'held';
     if (rounds > 1) {
       const registrars = [...claim.registrars];
-      this.opts.log.info('a claim stands', { request: claim.batch, rounds, registrars });
+      this.opts.log.info('a claim is held after several rounds', {
+        request: claim.batch,
+        rounds,
+        registrars,
+      });
     }
     return 'held';
   }
 
-  /** Most registrars do not answer. After the time, it is this entry that is out of reach: others may serve the batch. */
-  private giveUpAfter(deadline: number, claim: LocalClaim): BatchFollowed | undefined {
+  /** The outcome after the deadline for a majority of answers: this entry seems to be isolated, and others may serve the batch. */
+  private outcomeIfTimedOut(deadline: number, claim: LocalClaim): BatchFollowed | undefined {
     const { timer, metrics } = this.opts;
     if (timer.now() < deadline) return undefined;
     metrics?.add('batch_claims_total', 1, 'given_up');
     const reason = 'too few other entries can be reached to be sure that none runs it';
-    if (claim.isContested) return unknown(reason);
-    const retryAfterMs = claimLimits.comeBackMs;
+    if (claim.isContested) return unknownOutcome(reason);
+    const retryAfterMs = claimLimits.callerRetryAfterMs;
     return create(BatchFollowedSchema, { outcome: Outcome.NOT_RUN, reason, retryAfterMs });
   }
 
-  /** Before it is linked to others, an entry does not know what they hold. */
-  private async linksOpen(done: AbortSignal): Promise<void> {
+  /** Waits for links to the other entries, as this entry does not know what they hold before. */
+  private async waitForStartupLinks(done: AbortSignal): Promise<void> {
     const { timer } = this.opts;
-    const leftMs = this.startedAt + claimLimits.settleMs - timer.now();
-    if (leftMs <= 0 || this.settled.signal.aborted) return;
-    await timer.sleep(leftMs, AbortSignal.any([done, this.settled.signal]));
+    const leftMs = this.startedAt + claimLimits.startupLinksTimeoutMs - timer.now();
+    if (leftMs <= 0 || this.linksReady.signal.aborted) return;
+    await timer.sleep(leftMs, AbortSignal.any([done, this.linksReady.signal]));
   }
 
-  /** Claims the batch at its registrars. Returns what stands against it; `unclear` when too few have answered. */
-  private async conflictOf(claim: LocalClaim): Promise<ClaimConflict | 'unclear' | undefined> {
+  /** Requests the claim from its registrars. Returns a conflicting claim, if any; `unclear` without a majority of answers. */
+  private async findConflict(claim: LocalClaim): Promise<ClaimConflict | 'unclear' | undefined> {
     if (!claim.yieldedTo) {
-      const end = await this.round(claim);
-      if (end || !claim.yieldedTo) return end;
+      const result = await this.runRound(claim);
+      if (result || !claim.yieldedTo) return result;
     }
     const { yieldedTo: holder } = claim;
     const goneMs = holder && this.registrars.goneMs(holder.incarnation);
     return holder && { holder, registrar: this.opts.instance, goneMs, silentMs: 0 };
   }
 
-  private async round(claim: LocalClaim): Promise<ClaimConflict | 'unclear' | undefined> {
+  private async runRound(claim: LocalClaim): Promise<ClaimConflict | 'unclear' | undefined> {
     const { timer, log, metrics } = this.opts;
     const { registrars } = this;
     const { registrarCandidates: members } = registrars.peers;
-    this.held.membersChanged(members.keys());
+    this.renewer.membersChanged(members.keys());
     claim.number = registrars.nextNumber();
     claim.registrars.clear();
     const entries = registrars.choose(claim.batch, members);
@@ -224,21 +231,24 @@
         answer: registrars.requestClaim(entry, peer, claim),
       };
     });
-    const end = await ClaimRound.run(timer, asked, () => {
-      const now = registrars.peers.registrarCandidates;
-      const chosen = registrars.choose(claim.batch, now);
+    const result = await ClaimRound.run(timer, asked, () => {
+      const current = registrars.peers.registrarCandidates;
+      const chosen = registrars.choose(claim.batch, current);
       return chosen.every(
-        (each, at) => each === entries[at] && now.get(each) === members.get(each),
+        (each, at) => each === entries[at] && current.get(each) === members.get(each),
       );
     });
-    if (end === 'unclear') {
-      log.info('a claim is not answered by most registrars', { request: claim.batch, entries });
+    if (result === 'unclear') {
+      log.info('a claim was not answered by a majority of registrars', {
+        request: claim.batch,
+        entries,
+      });
       metrics?.add('batch_claims_total', 1, 'unanswered');
     }
-    return end;
+    return result;
   }
 }
 
-function unknown(reason: string): BatchFollowed {
+function unknownOutcome(reason: string): BatchFollowed {
   return create(BatchFollowedSchema, { outcome: Outcome.UNKNOWN, reason });
 }
--- a/src/claims/ClaimPeer.ts
+++ b/src/claims/ClaimPeer.ts
@@ -12,99 +12,99 @@
 import RUN_END_BOUND_MS from '../runs/RUN_END_BOUND_MS';
 import claimLimits from './claimLimits';
 
-/** Another entry, over one link: what it was asked about claims and has not answered. */
+/** Another entry at the other end of one link, with the requests about claims that it has not answered. */
 export default class ClaimPeer {
-  /** When each question without an answer was first sent, by its number, the oldest first. */
-  private readonly asked = new Map<number, number>();
+  /** When each unanswered request was first sent, by its number, the oldest first. */
+  private readonly pendingSince = new Map<number, number>();
 
-  private readonly claims = new Map<number, (answer: BatchClaimed | undefined) => void>();
+  private readonly claimCallbacks = new Map<number, (answer: BatchClaimed | undefined) => void>();
 
-  private readonly follows = new Map<number, (state: BatchFollowed) => void>();
+  private readonly followCallbacks = new Map<number, (state: BatchFollowed) => void>();
 
   private constructor(
     readonly link: Link,
     private readonly timer: TimerService,
   ) {}
 
-  /** Begins with a link that has just opened. */
+  /** Creates the peer for a link that has just opened. */
   static of(link: Link, timer: TimerService): ClaimPeer {
     return new ClaimPeer(link, timer);
   }
 
-  /** What the entry says of itself. */
+  /** The entry's hello message. */
   get hello(): Hello {
     return this.link.peer;
   }
 
-  /** How long it has not answered, while something waits for its answer, ms; 0 while nothing does. */
+  /** Age of the oldest unanswered request, ms; 0 when there is none. */
   get unansweredMs(): number {
-    const [oldest] = this.asked.values();
+    const [oldest] = this.pendingSince.values();
     return oldest === undefined ? 0 : this.timer.now() - oldest;
   }
 
-  /** How long nothing at all was heard of it, ms. */
+  /** Time since any message was received from it, ms. */
   get silentMs(): number {
     return this.timer.now() - this.link.lastReceivedAt;
   }
 
-  /** Whether it has been silent, while it was asked, for so long that its sidecars have stopped its runs. */
+  /** Whether it has been silent with an unanswered request for so long that its sidecars have stopped its runs. */
   get isPresumedDead(): boolean {
     return Math.min(this.unansweredMs, this.silentMs) >= RUN_END_BOUND_MS.afterConfirmation;
   }
 
-  /** Whether it does not answer at present, so that nothing should wait for it alone. */
+  /** Whether its answer is overdue, so that nothing should wait for it alone. */
   get isSlow(): boolean {
-    return this.unansweredMs >= claimLimits.answerMs;
+    return this.unansweredMs >= claimLimits.answerTimeoutMs;
   }
 
-  /** Whether it seems to be frozen or cut off. */
+  /** Whether it seems to be paused or isolated. */
   get isUnreachable(): boolean {
-    return Math.min(this.unansweredMs, this.silentMs) >= claimLimits.absentMs;
+    return Math.min(this.unansweredMs, this.silentMs) >= claimLimits.unreachableAfterMs;
   }
 
-  /** Asks it to note a claim; resolves to nothing when the link ends. */
+  /** Asks it to record a claim; resolves to undefined when the link ends. */
   requestClaim(value: ClaimBatch): Promise<BatchClaimed | undefined> {
     const { number } = value;
     return new Promise((resolve) => {
-      this.claims.set(number, resolve);
-      this.ask(number, () => this.link.send({ case: 'claimBatch', value }));
+      this.claimCallbacks.set(number, resolve);
+      this.sendRequest(number, () => this.link.send({ case: 'claimBatch', value }));
     });
   }
 
-  /** Takes its answer to a claim. */
+  /** Handles its answer to a claim. */
   handleClaimResponse(answer: BatchClaimed): void {
-    this.asked.delete(answer.number);
-    this.claims.get(answer.number)?.(answer);
-    this.claims.delete(answer.number);
+    this.pendingSince.delete(answer.number);
+    this.claimCallbacks.get(answer.number)?.(answer);
+    this.claimCallbacks.delete(answer.number);
   }
 
-  /** Asks, or asks again, what becomes of a batch that it holds; `heard` is told of each answer. */
-  follow(value: FollowBatch, heard: (state: BatchFollowed) => void): void {
-    this.follows.set(value.number, heard);
-    this.ask(value.number, () => this.link.send({ case: 'followBatch', value }));
+  /** Asks, or asks again, for the state of a batch that it holds; `onState` is called with each answer. */
+  follow(value: FollowBatch, onState: (state: BatchFollowed) => void): void {
+    this.followCallbacks.set(value.number, onState);
+    this.sendRequest(value.number, () => this.link.send({ case: 'followBatch', value }));
   }
 
-  /** Its answer is of no interest any more. */
+  /** Tells it that its answer to a follow request is no longer needed. */
   unfollow(number: number): void {
-    this.follows.delete(number);
+    this.followCallbacks.delete(number);
     this.link.send({ case: 'unfollowBatch', value: create(UnfollowBatchSchema, { number }) });
   }
 
-  /** Takes its answer to a question about a batch. */
+  /** Handles its answer to a follow request. */
   handleFollowResponse(state: BatchFollowed): void {
-    this.asked.delete(state.number);
-    this.follows.get(state.number)?.(state);
+    this.pendingSince.delete(state.number);
+    this.followCallbacks.get(state.number)?.(state);
   }
 
-  /** The link has ended: nothing will be answered. */
+  /** Ends all requests without an answer, as the link has ended. */
   close(): void {
-    this.asked.clear();
-    this.claims.forEach((resolve) => resolve(undefined));
-    this.claims.clear();
+    this.pendingSince.clear();
+    this.claimCallbacks.forEach((resolve) => resolve(undefined));
+    this.claimCallbacks.clear();
   }
 
-  private ask(number: number, send: () => void): void {
-    if (!this.asked.has(number)) this.asked.set(number, this.timer.now());
+  private sendRequest(number: number, send: () => void): void {
+    if (!this.pendingSince.has(number)) this.pendingSince.set(number, this.timer.now());
     send();
   }
 }
--- a/src/claims/ClaimPeers.ts
+++ b/src/claims/ClaimPeers.ts
@@ -9,81 +9,84 @@
 interface EndedLink {
   readonly instance: string;
   readonly at: number;
-  /** Whether it broke off; an entry that has left in good order has nothing open. */
+  /** Whether it broke; an entry that has left gracefully has nothing open. */
   readonly isBroken: boolean;
 }
 
-/** The other entries: those that are linked, and those that were lately. */
+/** The other entries: those that are linked, and those that were recently. */
 export default class ClaimPeers {
-  private readonly linked = new Map<Link, ClaimPeer>();
+  private readonly peersByLink = new Map<Link, ClaimPeer>();
 
-  /** By incarnation: the last link to each process that is linked no more. */
+  /** The last link to each process that is no longer linked, by incarnation. */
   private readonly endedLinks = new Map<string, EndedLink>();
 
   private constructor(
     private readonly timer: TimerService,
-    private readonly seen: () => readonly SeenEntry[] | undefined,
+    private readonly liveEntries: () => readonly SeenEntry[] | undefined,
   ) {}
 
-  /** Creates one without any; `seen` returns the processes that sidecars know to be awake, if one has told. */
-  static create(timer: TimerService, seen: () => readonly SeenEntry[] | undefined): ClaimPeers {
-    return new ClaimPeers(timer, seen);
+  /** Creates an empty set; `liveEntries` returns the processes known to sidecars to be alive, if any has reported. */
+  static create(
+    timer: TimerService,
+    liveEntries: () => readonly SeenEntry[] | undefined,
+  ): ClaimPeers {
+    return new ClaimPeers(timer, liveEntries);
   }
 
-  /** A link to an entry has opened. */
+  /** Adds an entry whose link has opened. */
   add(link: Link): ClaimPeer {
     const peer = ClaimPeer.of(link, this.timer);
-    this.linked.set(link, peer);
+    this.peersByLink.set(link, peer);
     this.endedLinks.delete(link.peer.incarnation);
     return peer;
   }
 
-  /** A link to an entry has ended. */
+  /** Removes a link that has ended. */
   remove(link: Link): void {
-    this.linked.get(link)?.close();
-    this.linked.delete(link);
+    this.peersByLink.get(link)?.close();
+    this.peersByLink.delete(link);
     const { instance, incarnation } = link.peer;
     const at = this.timer.now();
     const isBroken = link.failure !== undefined;
     if (!this.findByIncarnation(incarnation))
       this.endedLinks.set(incarnation, { instance, at, isBroken });
-    this.forget(at);
+    this.pruneEndedLinks(at);
   }
 
   /** The entry at the other end of a link. */
   byLink(link: Link): ClaimPeer | undefined {
-    return this.linked.get(link);
+    return this.peersByLink.get(link);
   }
 
-  /** A process that is linked, by its newest link: an older one may be dead. */
+  /** A linked process by its newest link, as an older one may be dead. */
   findByIncarnation(incarnation: string): ClaimPeer | undefined {
-    const peers = [...this.linked.values()];
+    const peers = [...this.peersByLink.values()];
     return peers.findLast(({ hello }) => hello.incarnation === incarnation);
   }
 
   /**
-   * The entries that count as registrars, by name. One that is out of reach counts, without a peer, while its link may
-   * be back in a moment, and for as long as sidecars know it to be awake: it may be this process that is cut off. That is
-   * assumed while no sidecar has told.
+   * The entries that can be registrars, by instance. An unreachable one is included, without a peer, while its link may
+   * come back soon, and as long as sidecars know it to be alive, since it may be this process that is isolated. Until a
+   * sidecar has reported, it is assumed to be alive.
    */
   get registrarCandidates(): ReadonlyMap<string, ClaimPeer | undefined> {
     const members = new Map<string, ClaimPeer | undefined>();
-    const seen = this.seen();
-    const since = seen ? this.timer.now() - claimLimits.relinkMs : -Infinity;
+    const alive = this.liveEntries();
+    const since = alive ? this.timer.now() - claimLimits.reconnectGraceMs : -Infinity;
     this.endedLinks.forEach(({ instance, at, isBroken }) => {
       if (isBroken && at > since) members.set(instance, undefined);
     });
-    seen?.forEach(({ instance }) => members.set(instance, undefined));
-    this.linked.forEach((peer) => {
+    alive?.forEach(({ instance }) => members.set(instance, undefined));
+    this.peersByLink.forEach((peer) => {
       const { instance } = peer.hello;
-      if (!seen || !peer.isUnreachable || members.has(instance)) members.set(instance, peer);
+      if (!alive || !peer.isUnreachable || members.has(instance)) members.set(instance, peer);
     });
     return members;
   }
 
-  /** Whether a process may be awake, as far as sidecars tell. */
+  /** Whether a process may be alive according to the sidecars. */
   mayBeAlive(incarnation: string): boolean {
-    return this.seen()?.some((entry) => entry.incarnation === incarnation) ?? true;
+    return this.liveEntries()?.some((entry) => entry.incarnation === incarnation) ?? true;
   }
 
   /** How long ago the last link to a process ended, ms; undefined while it is linked, or not known to be gone. */
@@ -93,15 +96,15 @@
     return this.timer.now() - endedAt;
   }
 
-  /** Whether the runs of a process that was linked once are over. */
+  /** Whether all runs of a process that was once linked have ended. */
   haveRunsEnded(incarnation: string): boolean {
     if (this.findByIncarnation(incarnation)) return false;
-    // Processes are forgotten once their runs are over.
+    // Processes are removed from the list once their runs have ended.
     if (!this.endedLinks.has(incarnation)) return true;
     return (this.goneMs(incarnation) ?? 0) >= RUN_END_BOUND_MS.afterProcessEnd;
   }
 
-  private forget(now: number): void {
+  private pruneEndedLinks(now: number): void {
     this.endedLinks.forEach(({ at }, incarnation) => {
       if (now - at <= RUN_END_BOUND_MS.afterConfirmation || this.mayBeAlive(incarnation)) return;
       this.endedLinks.delete(incarnation);
--- a/src/claims/ClaimRegistry.ts
+++ b/src/claims/ClaimRegistry.ts
@@ -2,30 +2,33 @@
 import type { BatchHolder } from '../gen/magnoliakeel/v1/peer_pb';
 import claimLimits from './claimLimits';
 
-/** Who holds a batch, and until when that is of interest. */
-interface Note {
+/** The holder of a batch, and when the record expires. */
+interface ClaimRecord {
   readonly holder: BatchHolder;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
-/** What an entry notes as a registrar: the newest claim of each batch. */
+/** The claims that an entry has recorded as a registrar: the newest of each batch. */
 export default class ClaimRegistry {
-  /** By batch, the oldest first. */
-  private readonly notes = new Map<string, Note>();
+  /** By batch, the oldest record first. */
+  private readonly records = new Map<string, ClaimRecord>();
 
   private constructor(
     private readonly timer: TimerService,
-    private readonly isOver: (holder: BatchHolder) => boolean,
+    private readonly haveRunsEnded: (holder: BatchHolder) => boolean,
   ) {}
 
-  /** Creates one without notes; `isOver` tells whether all runs of a holder that is gone are over. */
-  static create(timer: TimerService, isOver: (holder: BatchHolder) => boolean): ClaimRegistry {
-    return new ClaimRegistry(timer, isOver);
+  /** Creates an empty registry; `haveRunsEnded` tells whether all runs of a holder that is gone have ended. */
+  static create(
+    timer: TimerService,
+    haveRunsEnded: (holder: BatchHolder) => boolean,
+  ): ClaimRegistry {
+    return new ClaimRegistry(timer, haveRunsEnded);
   }
 
   /**
-   * Notes a claim for so many ms, unless that of another entry stands, which is returned. A claim stands until its
-   * time is over, its runs are, or the claimant names it as past.
+   * Records a claim for `keptMs`, unless another entry has a valid claim: then returns that one's holder. A claim is
+   * valid until it expires, its holder's runs have ended, or the claimant lists it in `past`.
    */
   claim(
     batch: string,
@@ -33,33 +36,34 @@
     keptMs: number,
     past: readonly BatchHolder[],
   ): BatchHolder | undefined {
-    const standing = this.standing(batch);
-    if (standing && !isSameProcess(standing, holder) && !past.some((p) => covers(p, standing))) {
-      return standing;
+    const current = this.activeHolder(batch);
+    if (current && !isSameProcess(current, holder) && !past.some((p) => covers(p, current))) {
+      return current;
     }
-    this.notes.delete(batch);
-    this.notes.set(batch, { holder, until: this.timer.now() + keptMs });
-    this.forget();
+    this.records.delete(batch);
+    this.records.set(batch, { holder, expiresAt: this.timer.now() + keptMs });
+    this.pruneRecords();
     return undefined;
   }
 
-  private standing(batch: string): BatchHolder | undefined {
-    const note = this.notes.get(batch);
-    if (!note || note.until <= this.timer.now() || this.isOver(note.holder)) return undefined;
-    return note.holder;
+  private activeHolder(batch: string): BatchHolder | undefined {
+    const record = this.records.get(batch);
+    if (!record || record.expiresAt <= this.timer.now() || this.haveRunsEnded(record.holder))
+      return undefined;
+    return record.holder;
   }
 
-  private forget(): void {
+  private pruneRecords(): void {
     const now = this.timer.now();
-    // The first ones may be kept the longest: those whose time is over go before the oldest.
-    if (this.notes.size > claimLimits.notes) {
-      this.notes.forEach(({ until }, batch) => {
-        if (until <= now) this.notes.delete(batch);
+    // The oldest records may expire last, so expired ones are removed before the oldest.
+    if (this.records.size > claimLimits.notes) {
+      this.records.forEach(({ expiresAt }, batch) => {
+        if (expiresAt <= now) this.records.delete(batch);
       });
     }
-    for (const [batch, { until }] of this.notes) {
-      if (until > now && this.notes.size <= claimLimits.notes) return;
-      this.notes.delete(batch);
+    for (const [batch, { expiresAt }] of this.records) {
+      if (expiresAt > now && this.records.size <= claimLimits.notes) return;
+      this.records.delete(batch);
     }
   }
 }
@@ -68,7 +72,7 @@
   return one.incarnation === other.incarnation;
 }
 
-/** Whether a claim of the same process that is no older is known to be past. */
-function covers(past: BatchHolder, standing: BatchHolder): boolean {
-  return isSameProcess(past, standing) && past.claim >= standing.claim;
+/** Whether `past` shows that `current` has ended: it is a claim of the same process that is at least as new. */
+function covers(past: BatchHolder, current: BatchHolder): boolean {
+  return isSameProcess(past, current) && past.claim >= current.claim;
 }
--- a/src/claims/ClaimRound.ts
+++ b/src/claims/ClaimRound.ts
@@ -4,85 +4,88 @@
 import claimLimits from './claimLimits';
 import type ClaimConflict from './ClaimConflict';
 
-/** What comes of a round: what stands against the claim, nothing, or `unclear` when too few have answered. */
-type RoundEnd = ClaimConflict | 'unclear' | undefined;
+/** Result of a round: a conflicting claim, undefined when the claim is granted, or `unclear` without a majority of answers. */
+type RoundResult = ClaimConflict | 'unclear' | undefined;
 
-interface Registrar {
+interface RegistrarRequest {
   readonly entry: string;
-  /** Whether it is waited for; one that has been late for a while is only asked. */
+  /** Whether the round waits for it; a slow one is asked but not waited for. */
   readonly isAwaited: boolean;
-  /** Its answer; nothing when it is out of reach, or its link ends. */
+  /** Its answer; undefined when it is unreachable or its link ends. */
   readonly answer: Promise<BatchClaimed | undefined>;
 }
 
-/** One claim at all of its registrars, until enough of them have answered. */
+/** Requests one claim from all of its registrars and waits until enough of them have answered. */
 export default class ClaimRound {
   private readonly awaited: Set<string>;
 
-  private readonly need: number;
+  private readonly quorum: number;
 
-  private free = 0;
+  private grantCount = 0;
 
-  private isLate = false;
+  private hasWaitedLong = false;
 
-  private readonly limits: readonly Subscription[];
+  private readonly timers: readonly Subscription[];
 
   private constructor(
     timer: TimerService,
-    registrars: readonly Registrar[],
+    registrars: readonly RegistrarRequest[],
     isCurrent: () => boolean,
-    private readonly resolve: (end: RoundEnd) => void,
+    private readonly resolve: (result: RoundResult) => void,
   ) {
     this.awaited = new Set(registrars.filter((each) => each.isAwaited).map(({ entry }) => entry));
-    this.need = Math.floor(registrars.length / 2) + 1;
-    this.limits = [
-      timer.after(claimLimits.answerMs, () => {
-        this.isLate = true;
-        this.look();
+    this.quorum = Math.floor(registrars.length / 2) + 1;
+    this.timers = [
+      timer.after(claimLimits.answerTimeoutMs, () => {
+        this.hasWaitedLong = true;
+        this.checkQuorum();
       }),
-      timer.every(claimLimits.probeMs, () => {
-        if (!isCurrent()) this.end('unclear');
+      timer.every(claimLimits.probeIntervalMs, () => {
+        if (!isCurrent()) this.finish('unclear');
       }),
-      timer.after(claimLimits.unansweredMs, () => this.end('unclear')),
+      timer.after(claimLimits.quorumTimeoutMs, () => this.finish('unclear')),
     ];
     registrars.forEach(({ entry, answer }) =>
-      answer.then((value) => this.hear(entry, value)).catch(() => this.hear(entry, undefined)),
+      answer
+        .then((value) => this.handleAnswer(entry, value))
+        .catch(() => this.handleAnswer(entry, undefined)),
     );
   }
 
   /**
-   * Resolves once a registrar names another holder, or most say that the claim stands, or when too few have answered:
-   * after a time, or when the registrars are others by now.
+   * Resolves once a registrar reports another holder, or a majority grants the claim; or to `unclear`, when the round
+   * times out or `isCurrent` returns false because the batch has other registrars by now.
    */
   static run(
     timer: TimerService,
-    registrars: readonly Registrar[],
+    registrars: readonly RegistrarRequest[],
     isCurrent: () => boolean,
-  ): Promise<RoundEnd> {
+  ): Promise<RoundResult> {
     return new Promise((resolve) => {
-      // It goes on by the answers and its limits.
+      // It runs on the answers and its timers.
       // eslint-disable-next-line no-new
       new ClaimRound(timer, registrars, isCurrent, resolve);
     });
   }
 
-  private hear(registrar: string, answer: BatchClaimed | undefined): void {
+  private handleAnswer(registrar: string, answer: BatchClaimed | undefined): void {
     this.awaited.delete(registrar);
     if (answer?.holder) {
       const { holder, goneMs, silentMs } = answer;
-      this.end({ holder, goneMs, silentMs, registrar });
+      this.finish({ holder, goneMs, silentMs, registrar });
       return;
     }
-    if (answer) this.free += 1;
-    this.look();
+    if (answer) this.grantCount += 1;
+    this.checkQuorum();
   }
 
-  private look(): void {
-    if (this.free >= this.need && (this.isLate || this.awaited.size === 0)) this.end(undefined);
+  private checkQuorum(): void {
+    if (this.grantCount >= this.quorum && (this.hasWaitedLong || this.awaited.size === 0))
+      this.finish(undefined);
   }
 
-  private end(how: RoundEnd): void {
-    this.limits.forEach((limit) => limit.cancel());
-    this.resolve(how);
+  private finish(result: RoundResult): void {
+    this.timers.forEach((timer) => timer.cancel());
+    this.resolve(result);
   }
 }
--- a/src/claims/ConflictResolver.ts
+++ b/src/claims/ConflictResolver.ts
@@ -17,25 +17,25 @@
 import type LocalClaim from './LocalClaim';
 import type Registrars from './Registrars';
 
-interface OtherHolderOptions {
+interface ConflictResolverOptions {
   readonly timer: TimerService;
   readonly log: EventLog;
   readonly metrics?: Metrics;
   readonly registrars: Registrars;
 }
 
-/** What an entry does about a batch that another entry has claimed. */
+/** Waits for the holder when another entry has already claimed a batch. */
 export default class ConflictResolver {
-  private constructor(private readonly opts: OtherHolderOptions) {}
+  private constructor(private readonly opts: ConflictResolverOptions) {}
 
-  /** Creates it for the claims of an entry. */
-  static create(opts: OtherHolderOptions): ConflictResolver {
+  /** Creates the resolver for the claims of an entry. */
+  static create(opts: ConflictResolverOptions): ConflictResolver {
     return new ConflictResolver(opts);
   }
 
   /**
-   * Waits for the entry that has claimed the batch, until `done` aborts. Resolves to its answer, or to nothing when the
-   * claim is to be made again.
+   * Waits for the entry that has claimed the batch, until `done` aborts. Resolves to its answer, or to undefined when
+   * the claim has to be requested again.
    */
   async resolve(
     conflict: ClaimConflict,
@@ -47,7 +47,7 @@
     const peer = peers.findByIncarnation(holder.incarnation);
     claim.isContested = true;
     claim.contested();
-    this.opts.log.info('a batch is claimed by another entry', {
+    this.opts.log.info('a batch is already claimed by another entry', {
       request: claim.batch,
       claim: claim.number,
       holder: holder.instance,
@@ -55,17 +55,17 @@
       holderClaim: holder.claim,
       ...{ registrar, goneMs, silentMs, isLinked: peer !== undefined },
     });
-    if (peer && !peer.isPresumedDead) return this.follow(peer, holder, claim, done);
-    const isOver = peer
+    if (peer && !peer.isPresumedDead) return this.followUntilEnd(peer, holder, claim, done);
+    const haveRunsEnded = peer
       ? silentMs >= RUN_END_BOUND_MS.afterConfirmation && !peers.mayBeAlive(holder.incarnation)
       : goneMs !== undefined && goneMs >= RUN_END_BOUND_MS.afterProcessEnd;
-    if (!isOver) return this.awaitReach(goneMs, claim, done);
+    if (!haveRunsEnded) return this.waitForHolder(goneMs, claim, done);
     claim.endedClaims.set(holder.incarnation, holder);
     claim.yieldedTo = undefined;
     return undefined;
   }
 
-  private async follow(
+  private async followUntilEnd(
     peer: ClaimPeer,
     holder: BatchHolder,
     claim: LocalClaim,
@@ -74,22 +74,22 @@
     const { timer, log, metrics, registrars } = this.opts;
     const startedAt = timer.now();
     const number = registrars.nextNumber();
-    const end = await followHolder({ timer, peer, holder, claim, number, done });
-    log.info('another entry is no longer waited for', {
+    const result = await followHolder({ timer, peer, holder, claim, number, done });
+    log.info('stopped waiting for the holder of a batch', {
       request: claim.batch,
       holder: holder.instance,
-      end: end.kind,
+      end: result.kind,
       waitedMs: Math.round(timer.now() - startedAt),
     });
-    metrics?.add('batch_claims_total', 1, end.kind);
+    metrics?.add('batch_claims_total', 1, result.kind);
     claim.unreachableSince = undefined;
-    claim.yieldedTo = nextToAsk(end, holder);
-    if (end.kind === 'past') claim.endedClaims.set(end.holder.incarnation, end.holder);
-    return end.kind === 'answered' ? end.state : undefined;
+    claim.yieldedTo = nextHolderToAsk(result, holder);
+    if (result.kind === 'past') claim.endedClaims.set(result.holder.incarnation, result.holder);
+    return result.kind === 'answered' ? result.state : undefined;
   }
 
-  /** The holder is out of reach: its runs will be over, or it is linked soon, or what it does stays unknown. */
-  private async awaitReach(
+  /** Waits for an unreachable holder until its runs have ended, its link opens, or the time-out makes the outcome unknown. */
+  private async waitForHolder(
     goneMs: number | undefined,
     claim: LocalClaim,
     done: AbortSignal,
@@ -98,20 +98,23 @@
     const now = timer.now();
     if (goneMs === undefined) claim.yieldedTo = undefined;
     claim.unreachableSince = goneMs === undefined ? (claim.unreachableSince ?? now) : undefined;
-    if (now - (claim.unreachableSince ?? now) >= claimLimits.reachMs) {
+    if (now - (claim.unreachableSince ?? now) >= claimLimits.holderTimeoutMs) {
       metrics?.add('batch_claims_total', 1, 'unreachable');
       const reason = 'it is open at an entry that is out of reach';
       return create(BatchFollowedSchema, { outcome: Outcome.UNKNOWN, reason });
     }
     const leftMs = RUN_END_BOUND_MS.afterProcessEnd - (goneMs ?? Infinity);
-    const waitMs = Math.min(Math.max(leftMs, claimLimits.retryMs), claimLimits.probeMs);
+    const waitMs = Math.min(
+      Math.max(leftMs, claimLimits.retryDelayMs),
+      claimLimits.probeIntervalMs,
+    );
     await timer.sleep(waitMs, done);
     return undefined;
   }
 }
 
-/** The entry to ask next. One whose link has ended may be back soon. */
-function nextToAsk(end: FollowResult, holder: BatchHolder): BatchHolder | undefined {
-  if (end.kind === 'moved') return end.holder;
-  return end.kind === 'ended' ? holder : undefined;
+/** The entry to ask next. A holder whose link has ended may reconnect soon. */
+function nextHolderToAsk(result: FollowResult, holder: BatchHolder): BatchHolder | undefined {
+  if (result.kind === 'moved') return result.holder;
+  return result.kind === 'ended' ? holder : undefined;
 }
--- a/src/claims/FollowResult.ts
+++ b/src/claims/FollowResult.ts
@@ -1,10 +1,14 @@
 import type { BatchFollowed, BatchHolder } from '../gen/magnoliakeel/v1/peer_pb';
 
 /**
- * How waiting for the holder of a batch ends.
- * `answered`: with its answer. `past`: nothing of its claims up to that one is left. `moved`: another entry is to be
- * asked. `silent`: it has not answered for so long that its sidecars have stopped its runs, if it is silent to
- * them too. `ended`: its link has, or nobody waits any longer.
+ * Why waiting for the holder of a batch ended.
+ *
+ * - `answered`: the holder sent its answer.
+ * - `past`: the holder has ended its claims up to this one.
+ * - `moved`: another entry has to be asked.
+ * - `silent`: the holder has not answered for so long that its sidecars have stopped its runs, if they receive nothing
+ *   from it either.
+ * - `ended`: the link to the holder has ended, or nobody waits for the batch any longer.
  */
 type FollowResult =
   | { readonly kind: 'answered'; readonly state: BatchFollowed }
--- a/src/claims/HeldClaimRenewer.ts
+++ b/src/claims/HeldClaimRenewer.ts
@@ -5,35 +5,35 @@
 import type LocalClaim from './LocalClaim';
 import type Registrars from './Registrars';
 
-interface HeldClaimsOptions {
+interface HeldClaimRenewerOptions {
   readonly log: EventLog;
   readonly metrics?: Metrics;
   readonly registrars: Registrars;
-  /** The claims of this entry, held or not. */
+  /** The claims of this entry, held or not, by batch. */
   readonly localClaims: ReadonlyMap<string, LocalClaim>;
 }
 
-/** Keeps claims that are held known to their registrars while entries come and go. */
+/** Keeps the claims that this entry holds recorded at their registrars as the registrars of a batch change. */
 export default class HeldClaimRenewer {
-  /** The entries that counted as registrars when that was looked at last. */
-  private membersSeen = '';
+  /** The registrar candidates at the last call of `membersChanged`. */
+  private lastMembers = '';
 
-  private constructor(private readonly opts: HeldClaimsOptions) {}
+  private constructor(private readonly opts: HeldClaimRenewerOptions) {}
 
-  /** Creates it for the claims of an entry. */
-  static create(opts: HeldClaimsOptions): HeldClaimRenewer {
+  /** Creates the renewer for the claims of an entry. */
+  static create(opts: HeldClaimRenewerOptions): HeldClaimRenewer {
     return new HeldClaimRenewer(opts);
   }
 
-  /** An entry that was absent may have come back, and has missed claims. */
+  /** Renews held claims if the registrar candidates have changed: one that was unreachable may be back and have missed claims. */
   membersChanged(members: Iterable<string>): void {
     const names = [...members].sort().join();
-    if (names === this.membersSeen) return;
-    this.membersSeen = names;
+    if (names === this.lastMembers) return;
+    this.lastMembers = names;
     this.renew();
   }
 
-  /** Claims what is held at registrars that have come, or come in the place of others. */
+  /** Requests held claims from registrars that do not have them yet. */
   renew(): void {
     const { registrars, localClaims: own } = this.opts;
     const { registrarCandidates: members } = registrars.peers;
@@ -51,23 +51,23 @@
     registrars
       .requestClaim(registrar, registrars.peers.registrarCandidates.get(registrar), claim)
       .then((answer) => {
-        if (answer?.holder) this.defend(claim, answer.holder, registrar);
+        if (answer?.holder) this.verifyHolder(claim, answer.holder, registrar);
       });
   }
 
-  /** Another entry's claim is noted at a new registrar: it may have been made in vain, or hold. */
-  private defend(claim: LocalClaim, holder: BatchHolder, registrar: string): void {
+  /** Asks the holder of a conflicting claim at a new registrar whether it has ended its claim or has taken the batch over. */
+  private verifyHolder(claim: LocalClaim, holder: BatchHolder, registrar: string): void {
     const { registrars, localClaims: own } = this.opts;
     const peer = registrars.peers.findByIncarnation(holder.incarnation);
     if (!peer) return;
     const number = registrars.nextNumber();
     const { batch, number: ownNumber } = claim;
-    const question = create(FollowBatchSchema, { batch, number, claim: ownNumber, isHeld: true });
-    peer.follow(question, ({ outcome }) => {
+    const request = create(FollowBatchSchema, { batch, number, claim: ownNumber, isHeld: true });
+    peer.follow(request, ({ outcome }) => {
       peer.unfollow(number);
       if (own.get(batch) !== claim) return;
       if (outcome !== Outcome.ABSENT && outcome !== Outcome.UNSPECIFIED) {
-        this.lose(claim, holder, registrar);
+        this.handleLoss(claim, holder, registrar);
         return;
       }
       claim.endedClaims.set(holder.incarnation, holder);
@@ -75,9 +75,9 @@
     });
   }
 
-  private lose(claim: LocalClaim, holder: BatchHolder, registrar: string): void {
+  private handleLoss(claim: LocalClaim, holder: BatchHolder, registrar: string): void {
     const { log, metrics } = this.opts;
-    log.warn('another entry has taken over a batch that is held here', {
+    log.warn('another entry has taken over a batch held here', {
       request: claim.batch,
       holder: holder.instance,
       registrar,
--- a/src/claims/LocalClaim.ts
+++ b/src/claims/LocalClaim.ts
@@ -1,28 +1,28 @@
 import type { BatchHolder } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** An entry's claim of a batch that is open there. */
+/** This entry's claim of a batch that is open here. */
 export default interface LocalClaim {
   readonly batch: string;
-  /** How long registrars keep a note of it, ms. */
+  /** How long registrars keep the record of it, ms. */
   readonly keptMs: number;
-  /** Told that another entry has claimed the batch, and may have run some of it. */
+  /** Called when another entry has claimed the batch and may have run some of it. */
   readonly contested: () => void;
-  /** Told that another entry has taken the batch over since it was held here: what runs is to be stopped. */
+  /** Called when another entry has taken over the batch held here: its runs have to be stopped. */
   readonly lost: () => void;
-  /** The newest number under which it was made. */
+  /** Number of the last round in which it was requested. */
   number: number;
-  /** Whether the entry may run the batch, waits for another that does, or does not know yet. */
+  /** `held`: this entry may run the batch. `following`: it waits for the holder. `claiming`: not known yet. */
   state: 'claiming' | 'held' | 'following';
-  /** The entry that is waited for, while following. */
+  /** The holder, while following. */
   holder: BatchHolder | undefined;
-  /** Another claimant that was let pass, or the entry that a holder has named in its place. */
+  /** Another claimant that was given precedence, or the entry to which a former holder has referred. */
   yieldedTo: BatchHolder | undefined;
-  /** Claims of others of which nothing is left, the newest of each process. */
+  /** Claims of others that have ended, by incarnation; the newest of each process. */
   readonly endedClaims: Map<string, BatchHolder>;
-  /** Entries that were asked to note it, and are linked still. */
+  /** Entries that were asked to record it and are still linked. */
   readonly registrars: Set<string>;
-  /** Whether another entry was found to have claimed the batch. */
+  /** Whether another entry has been found to claim the batch. */
   isContested: boolean;
-  /** Since when a holder that others are linked to is out of reach, by the timer service. */
+  /** Since when the holder, to which other entries are linked, is unreachable from here, by the timer service. */
   unreachableSince: number | undefined;
 }
--- a/src/claims/Registrars.ts
+++ b/src/claims/Registrars.ts
@@ -18,30 +18,32 @@
 
 type Self = Pick<Hello, 'instance' | 'incarnation'>;
 
-/** The registrars of batches, of which this entry is one: how they are chosen, asked, and what is noted here. */
+/** Chooses the registrars of batches and requests claims from them; also records claims, as a registrar itself. */
 export default class Registrars {
   readonly peers: ClaimPeers;
 
-  private readonly register: ClaimRegistry;
+  private readonly registry: ClaimRegistry;
 
   private lastNumber = 0;
 
   private constructor(
     timer: TimerService,
     private readonly self: Self,
-    seen: () => readonly SeenEntry[] | undefined,
+    liveEntries: () => readonly SeenEntry[] | undefined,
   ) {
-    this.peers = ClaimPeers.create(timer, seen);
-    this.register = ClaimRegistry.create(timer, ({ incarnation }) => this.isOver(incarnation));
+    this.peers = ClaimPeers.create(timer, liveEntries);
+    this.registry = ClaimRegistry.create(timer, ({ incarnation }) =>
+      this.haveRunsEnded(incarnation),
+    );
   }
 
-  /** Creates those of an entry that is not linked to others; `seen` returns entries that sidecars know to be awake. */
+  /** Creates it for an entry that is not linked to others; `liveEntries` returns entries that sidecars know to be alive. */
   static create(
     timer: TimerService,
     self: Self,
-    seen: () => readonly SeenEntry[] | undefined,
+    liveEntries: () => readonly SeenEntry[] | undefined,
   ): Registrars {
-    return new Registrars(timer, self, seen);
+    return new Registrars(timer, self, liveEntries);
   }
 
   /** The newest claim of this entry. */
@@ -50,18 +52,18 @@
     return create(BatchHolderSchema, { instance, incarnation, claim: this.lastNumber });
   }
 
-  /** The next number for a claim or a question. */
+  /** The next number for a claim or a follow request. */
   nextNumber(): number {
     this.lastNumber += 1;
     return this.lastNumber;
   }
 
-  /** The registrars of a batch by name, the first one first, with this entry among the members. */
+  /** The registrars of a batch by instance, in order of preference, chosen among `members` and this entry. */
   choose(batch: string, members: ReadonlyMap<string, unknown>): readonly string[] {
     return chooseRegistrars(batch, [this.self.instance, ...members.keys()]);
   }
 
-  /** Claims a batch at a registrar; resolves to nothing when it is out of reach. */
+  /** Requests a claim from a registrar, which may be this entry; resolves to undefined when it is unreachable. */
   async requestClaim(
     entry: string,
     peer: ClaimPeer | undefined,
@@ -75,16 +77,16 @@
     return isOwn ? this.recordClaim(this.self, value) : peer?.requestClaim(value);
   }
 
-  /** Notes a claim of an entry here, or tells whose claim stands. */
+  /** Records a claim of an entry here, or returns the holder of a valid claim. */
   recordClaim({ instance, incarnation }: Self, claim: ClaimBatch): BatchClaimed {
     const { batch, number, keptMs, past } = claim;
     const claimant = create(BatchHolderSchema, { instance, incarnation, claim: number });
-    const holder = this.register.claim(batch, claimant, keptMs, past);
+    const holder = this.registry.claim(batch, claimant, keptMs, past);
     if (!holder) return create(BatchClaimedSchema, { number });
     const goneMs = this.goneMs(holder.incarnation);
     const silentMs = Math.round(this.peers.findByIncarnation(holder.incarnation)?.silentMs ?? 0);
-    const rounded = goneMs === undefined ? undefined : Math.round(goneMs);
-    return create(BatchClaimedSchema, { number, holder, goneMs: rounded, silentMs });
+    const roundedGoneMs = goneMs === undefined ? undefined : Math.round(goneMs);
+    return create(BatchClaimedSchema, { number, holder, goneMs: roundedGoneMs, silentMs });
   }
 
   /** How long ago the last link to a process ended, ms; undefined while it is linked, or not known to be gone. */
@@ -92,7 +94,7 @@
     return incarnation === this.self.incarnation ? undefined : this.peers.goneMs(incarnation);
   }
 
-  private isOver(incarnation: string): boolean {
+  private haveRunsEnded(incarnation: string): boolean {
     return incarnation !== this.self.incarnation && this.peers.haveRunsEnded(incarnation);
   }
 }
--- a/src/claims/chooseRegistrars.ts
+++ b/src/claims/chooseRegistrars.ts
@@ -2,8 +2,8 @@
 import claimLimits from './claimLimits';
 
 /**
- * The entries that note who holds a batch, chosen among those given by rendezvous hashing: entries that know almost
- * the same others choose almost the same ones, and the notes are spread evenly.
+ * Chooses the entries that record who holds a batch, by rendezvous hashing: entries whose membership lists differ
+ * slightly choose nearly the same registrars, and the records are spread evenly.
  */
 export default function chooseRegistrars(
   batch: string,
@@ -13,6 +13,6 @@
   return [...entries]
     .map((entry) => ({ entry, weight: murmurhash.v3(entry, seed) }))
     .sort((a, b) => b.weight - a.weight || (a.entry < b.entry ? -1 : 1))
-    .slice(0, claimLimits.registrars)
+    .slice(0, claimLimits.registrarCount)
     .map(({ entry }) => entry);
 }
--- a/src/claims/claimLimits.ts
+++ b/src/claims/claimLimits.ts
@@ -1,29 +1,29 @@
-/** How long claims and their answers may take, in milliseconds unless said otherwise. */
+/** Limits and time-outs of batch claims; times in milliseconds. */
 const claimLimits = {
-  /** Entries that note each claim. A claim stands when most of them say so, so one may be out of reach. */
-  registrars: 3,
-  /** After this long a claim that stands with most registrars no longer waits for the others. */
-  answerMs: 150,
-  /** How often it is looked whether a claim waits for the right registrars, and the holder of a batch asked again. */
-  probeMs: 250,
-  /** An entry that has answered nothing for this long is no registrar: it is frozen or cut off, not only late. */
-  absentMs: 1_000,
-  /** An entry whose link has broken off remains a registrar for this long: the link may be back in a moment. */
-  relinkMs: 500,
-  /** Pause before a claim is made again while the holder's link is about to come or go. */
-  retryMs: 50,
-  /** How long a holder that others are linked to may be out of reach before its batch is given up here. */
-  reachMs: 500,
+  /** Entries that record each claim. A claim needs the consent of a majority, so one of them may be unreachable. */
+  registrarCount: 3,
+  /** How long a claim that a majority has granted still waits for the other registrars. */
+  answerTimeoutMs: 150,
+  /** Interval at which the choice of registrars is checked again, and the holder of a batch is asked again. */
+  probeIntervalMs: 250,
+  /** An entry that has answered nothing for this long is not used as a registrar: it is paused or isolated, not only slow. */
+  unreachableAfterMs: 1_000,
+  /** An entry whose link broke stays a registrar for this long, as it may reconnect soon. */
+  reconnectGraceMs: 500,
+  /** Delay before a claim is retried while the holder's link is opening or closing. */
+  retryDelayMs: 50,
+  /** How long a holder that other entries are linked to may be unreachable from here before its batch is given up here. */
+  holderTimeoutMs: 500,
   /**
-   * How long a batch waits for most registrars to answer before it is refused: this entry may be cut off. Until then
-   * sidecars have told which entries are gone.
+   * How long a batch waits for a majority of registrars before it is refused, since this entry may be isolated. By
+   * then sidecars have reported which entries are gone.
    */
-  unansweredMs: 1_500,
-  /** When callers of such a batch are to come back. */
-  comeBackMs: 1_000,
-  /** How long batches wait after the start of the process, at most, for links to the other entries. */
-  settleMs: 1_000,
-  /** Claims that an entry notes at the most, some 4 MB; the oldest are forgotten first. */
+  quorumTimeoutMs: 1_500,
+  /** Retry delay told to the callers of such a batch. */
+  callerRetryAfterMs: 1_000,
+  /** How long after the start of the process batches wait for links to the other entries, at most. */
+  startupLinksTimeoutMs: 1_000,
+  /** Maximum number of claims that an entry records, about 4 MB; the oldest are dropped first. */
   notes: 20_000,
 } as const;
 
--- a/src/claims/followHolder.ts
+++ b/src/claims/followHolder.ts
@@ -16,47 +16,47 @@
   readonly peer: ClaimPeer;
   readonly holder: BatchHolder;
   readonly claim: LocalClaim;
-  /** Names the question to the holder. */
+  /** Number of the follow request. */
   readonly number: number;
   /** Aborts when nobody waits for the batch any longer. */
   readonly done: AbortSignal;
 }
 
-/** What an answer of the holder leads to: the end of waiting, or nothing yet. */
-type Handler = (opts: FollowOptions, state: BatchFollowed) => FollowResult | undefined;
+/** Handles an answer of the holder: returns the result, or undefined to go on waiting. */
+type OutcomeHandler = (opts: FollowOptions, state: BatchFollowed) => FollowResult | undefined;
 
-/** Waits until the holder of a batch has answered it, has nothing left of it, or is out of reach. */
+/** Waits until the holder of a batch sends its answer, has ended its claim, or is unreachable. */
 export default async function followHolder(opts: FollowOptions): Promise<FollowResult> {
   const { timer, peer, claim, number, done } = opts;
   const ended = AbortSignal.any([done, peer.link.closed]);
   return new Promise((resolve) => {
-    const wanted = create(FollowBatchSchema, { batch: claim.batch, number, claim: claim.number });
-    const ask = (): void => peer.follow(wanted, hear);
-    const probe = timer.every(claimLimits.probeMs, () => {
-      if (peer.isPresumedDead) end({ kind: 'silent' });
+    const request = create(FollowBatchSchema, { batch: claim.batch, number, claim: claim.number });
+    const ask = (): void => peer.follow(request, handleState);
+    const probe = timer.every(claimLimits.probeIntervalMs, () => {
+      if (peer.isPresumedDead) finish({ kind: 'silent' });
       else ask();
     });
-    const giveUp = (): void => end({ kind: 'ended' });
-    const end = (how: FollowResult): void => {
+    const stop = (): void => finish({ kind: 'ended' });
+    const finish = (result: FollowResult): void => {
       probe.cancel();
-      ended.removeEventListener('abort', giveUp);
+      ended.removeEventListener('abort', stop);
       peer.unfollow(number);
-      resolve(how);
+      resolve(result);
     };
-    const hear = (state: BatchFollowed): void => {
-      const how = handlers[state.outcome]?.(opts, state);
-      if (how) end(how);
+    const handleState = (state: BatchFollowed): void => {
+      const result = handlers[state.outcome]?.(opts, state);
+      if (result) finish(result);
       else if (state.outcome === Outcome.UNKNOWN) ask();
     };
-    ended.addEventListener('abort', giveUp, { once: true });
-    if (ended.aborted) giveUp();
+    ended.addEventListener('abort', stop, { once: true });
+    if (ended.aborted) stop();
     else ask();
   });
 }
 
-const answered: Handler = (_opts, state) => ({ kind: 'answered', state });
+const answered: OutcomeHandler = (_opts, state) => ({ kind: 'answered', state });
 
-const handlers: Partial<Readonly<Record<Outcome, Handler>>> = {
+const handlers: Partial<Readonly<Record<Outcome, OutcomeHandler>>> = {
   [Outcome.COMPLETED]: answered,
   [Outcome.FAILED]: answered,
   [Outcome.CANCELLED]: answered,
