--- a/src/dispatch/CreditPool.ts
+++ b/src/dispatch/CreditPool.ts
@@ -2,7 +2,7 @@
 
 /**
  * The idle credits that an entry holds for one service. Credits are taken from
- * the sidecar with most of them, so that load spreads over the backend servers.
+ * the sidecar with the most, so that load spreads over the backend servers.
  */
 export default class CreditPool {
   private readonly bySidecar = new Map<string, HeldCredit[]>();
@@ -21,12 +21,12 @@
     return this.count;
   }
 
-  /** Adds a credit; an older one of the same slot is replaced. */
+  /** Adds a credit, replacing an older one of the same slot. */
   add(held: HeldCredit): void {
     const credits = this.bySidecar.get(held.sidecar) ?? [];
-    const same = credits.findIndex(({ credit }) => credit.slot === held.credit.slot);
-    if (same >= 0) {
-      if (credits[same]!.credit.generation < held.credit.generation) credits[same] = held;
+    const existing = credits.findIndex(({ credit }) => credit.slot === held.credit.slot);
+    if (existing >= 0) {
+      if (credits[existing]!.credit.generation < held.credit.generation) credits[existing] = held;
       return;
     }
     credits.push(held);
@@ -34,7 +34,7 @@
     this.count += 1;
   }
 
-  /** Takes a credit, avoiding sidecars for which `avoid` holds unless only those are left. */
+  /** Takes a credit of the sidecar with the most, skipping sidecars for which `avoid` returns true; undefined if none is left. */
   take(avoid: (sidecar: string) => boolean): HeldCredit | undefined {
     let best: string | undefined;
     let bestCount = 0;
@@ -47,7 +47,7 @@
     return best === undefined ? undefined : this.takeFrom(best);
   }
 
-  /** Number of idle credits of sidecars that are not avoided. */
+  /** Number of idle credits of sidecars for which `avoid` returns false. */
   usableCount(avoid: (sidecar: string) => boolean): number {
     let usable = 0;
     this.bySidecar.forEach((credits, sidecar) => {
@@ -56,7 +56,7 @@
     return usable;
   }
 
-  /** Takes half of the usable credits, rounded up, but no more than wanted. */
+  /** Takes half of the usable credits, rounded up, but at most `wanted`. */
   takeHalf(wanted: number, avoid: (sidecar: string) => boolean): HeldCredit[] {
     const number = Math.min(wanted, Math.ceil(this.usableCount(avoid) / 2));
     const taken: HeldCredit[] = [];
@@ -68,15 +68,15 @@
     return taken;
   }
 
-  /** Forgets the credits of a sidecar, all or those of the slots named, and returns them. */
+  /** Removes and returns the credits of a sidecar: all, or those of the given slots. */
   remove(sidecar: string, slots?: readonly number[]): HeldCredit[] {
     const credits = this.bySidecar.get(sidecar) ?? [];
-    const isDropped = ({ credit }: HeldCredit) => !slots || slots.includes(credit.slot);
-    const kept = credits.filter((held) => !isDropped(held));
+    const isRemoved = ({ credit }: HeldCredit) => !slots || slots.includes(credit.slot);
+    const kept = credits.filter((held) => !isRemoved(held));
     this.count -= credits.length - kept.length;
     if (kept.length === 0) this.bySidecar.delete(sidecar);
     else this.bySidecar.set(sidecar, kept);
-    return credits.filter(isDropped);
+    return credits.filter(isRemoved);
   }
 
   private takeFrom(sidecar: string): HeldCredit | undefined {
--- a/src/dispatch/Dispatcher.ts
+++ b/src/dispatch/Dispatcher.ts
@@ -37,22 +37,22 @@
 import traceStart from './traceStart';
 
 /**
- * Brings an entry's waiting tasks and its credits together. It starts a task
- * as soon as there is a credit for its service, keeps track of what runs
- * where, and settles each task exactly once.
+ * Matches an entry's queued tasks with its credits. It starts a task as soon as
+ * there is a credit for its service, keeps track of which sidecar runs it, and
+ * settles each task exactly once.
  */
 export default class Dispatcher {
   readonly entryLoads = EntryLoads.create();
 
-  private readonly lanes = new Map<string, Lane>();
+  private readonly services = new Map<string, ServiceState>();
 
   private readonly running = new Map<string, RunningTask>();
 
-  private readonly bySidecar = new Map<string, Set<RunningTask>>();
+  private readonly runningBySidecar = new Map<string, Set<RunningTask>>();
 
   private readonly sidecars = new Map<string, SidecarPeer>();
 
-  private readonly lentTo = new Map<string, HeldCredit[]>();
+  private readonly lentByEntry = new Map<string, HeldCredit[]>();
 
   private constructor(private readonly options: DispatcherOptions) {}
 
@@ -61,15 +61,15 @@
     return new Dispatcher(options);
   }
 
-  /** Number of tasks waiting for a service. */
+  /** Number of queued tasks of a service. */
   queuedCount(service: string): number {
-    return this.lanes.get(service)?.queue.length ?? 0;
+    return this.services.get(service)?.queue.length ?? 0;
   }
 
-  /** How long a further task of the team would wait, by the pace of the last starts. */
+  /** How long another task of the team would wait in the queue, by the average interval of recent starts, in ms. */
   predictedWaitMs(service: string, team: string): number {
-    const lane = this.lanes.get(service);
-    return lane ? lane.queue.tasksAhead(team) * lane.pace.averageMs : 0;
+    const state = this.services.get(service);
+    return state ? state.queue.tasksAhead(team) * state.startInterval.averageMs : 0;
   }
 
   /** Number of tasks that were sent to sidecars and have not ended. */
@@ -77,21 +77,21 @@
     return this.running.size;
   }
 
-  /** Queues a task and starts it at once when there is a credit. */
+  /** Queues a task, and starts it at once if there is a credit. */
   enqueue(task: QueuedTask): void {
-    const lane = this.laneOf(task.service);
-    lane.queue.push(task);
-    this.pump(lane);
+    const state = this.serviceOf(task.service);
+    state.queue.push(task);
+    this.dispatch(state);
   }
 
-  /** Takes tasks out of the queue that need not run any more; those that run go on. */
+  /** Removes tasks that need not run any more from the queue; running ones continue. */
   dequeue(tasks: ReadonlySet<QueuedTask>): void {
     const service = first(tasks)?.service;
-    const lane = service === undefined ? undefined : this.lanes.get(service);
-    if (lane && lane.queue.length > 0) lane.queue.remove(tasks);
+    const state = service === undefined ? undefined : this.services.get(service);
+    if (state && state.queue.length > 0) state.queue.remove(tasks);
   }
 
-  /** Takes tasks out of the queue and stops those that run at their sidecars. */
+  /** Removes tasks from the queue and has sidecars stop those that run. */
   cancel(tasks: ReadonlySet<QueuedTask>): void {
     this.dequeue(tasks);
     const bySidecar = new Map<string, QueuedTask[]>();
@@ -106,287 +106,297 @@
     });
   }
 
-  /** Takes note of a sidecar whose link has opened and asks it for what is still awaited. */
+  /** Adds a sidecar whose link has opened, and asks it for the state of the tasks that are still expected from it. */
   linkOpened(peer: SidecarPeer): void {
     this.sidecars.set(peer.incarnation, peer);
-    const awaited = [...(this.bySidecar.get(peer.incarnation) ?? [])];
+    const awaited = [...(this.runningBySidecar.get(peer.incarnation) ?? [])];
     if (awaited.length === 0) return;
     const value = create(ReconcileSchema, { tasks: awaited.map(({ task }) => taskIdOf(task)) });
     this.send(peer.incarnation, { case: 'reconcile', value });
   }
 
-  /** Drops the credits of a sidecar whose link has ended, borrowed ones go back; its tasks stay awaited. */
+  /** Drops the credits of a sidecar whose link has ended, returning borrowed ones; its tasks are still expected. */
   linkEnded(peer: SidecarPeer): void {
-    this.lanes.forEach((lane) => this.giveBack(lane, lane.pool.remove(peer.incarnation)));
+    this.services.forEach((state) =>
+      this.returnCredits(state, state.pool.remove(peer.incarnation)),
+    );
   }
 
-  /** Gives a sidecar up: its tasks may have run, and nothing more is expected of it. */
+  /** Gives a sidecar up: its tasks may have run, and nothing more is expected from it. */
   sidecarLost(incarnation: string): void {
     this.sidecars.delete(incarnation);
-    this.lanes.forEach(({ pool, ejections }) => {
+    this.services.forEach(({ pool, outliers }) => {
       pool.remove(incarnation);
-      ejections.remove(incarnation);
+      outliers.remove(incarnation);
     });
-    const lost = [...(this.bySidecar.get(incarnation) ?? [])];
-    lost.forEach((entry) => {
-      this.forget(entry);
-      this.giveBackOf(entry);
-      this.attemptLost(entry.task, 'the sidecar was lost');
+    const lost = [...(this.runningBySidecar.get(incarnation) ?? [])];
+    lost.forEach((run) => {
+      this.untrack(run);
+      this.returnCreditOf(run);
+      this.handleLostAttempt(run.task, 'the sidecar was lost');
     });
-    this.bySidecar.delete(incarnation);
+    this.runningBySidecar.delete(incarnation);
   }
 
-  /** Takes a sidecar's credits. */
+  /** Adds credits that a sidecar has granted. */
   handleGrant(peer: SidecarPeer, grant: Grant): void {
-    const lane = this.laneOf(grant.service);
+    const state = this.serviceOf(grant.service);
     if (!peer.services.includes(grant.service)) peer.services = [...peer.services, grant.service];
-    grant.credits.forEach((credit) => lane.pool.add({ sidecar: peer.incarnation, credit }));
-    this.pump(lane);
+    grant.credits.forEach((credit) => state.pool.add({ sidecar: peer.incarnation, credit }));
+    this.dispatch(state);
   }
 
-  /** Drops credits that a sidecar has ended. */
+  /** Drops credits that a sidecar has withdrawn. */
   handleWithdraw(peer: SidecarPeer, withdraw: Withdraw): void {
     if (withdraw.leaving) {
-      this.lanes.forEach(({ pool }) => pool.remove(peer.incarnation));
+      this.services.forEach(({ pool }) => pool.remove(peer.incarnation));
       return;
     }
-    this.lanes.get(withdraw.service)?.pool.remove(peer.incarnation, withdraw.slots);
+    this.services.get(withdraw.service)?.pool.remove(peer.incarnation, withdraw.slots);
   }
 
-  /** Settles a task with its result and takes the credit that came along. */
+  /** Settles a task with its result and adds the credit that came with it. */
   handleDone(peer: SidecarPeer, done: Done): void {
-    const entry = done.task && this.running.get(taskKey(done.task.job, done.task.index));
-    const matches = entry?.task.attempt === done.task?.attempt;
-    if (entry && matches) {
-      this.forget(entry);
-      this.judge(entry, done.status);
-      this.settleDone(entry.task, done);
+    const run = done.task && this.running.get(taskKey(done.task.job, done.task.index));
+    const matches = run?.task.attempt === done.task?.attempt;
+    if (run && matches) {
+      this.untrack(run);
+      this.recordOutcome(run, done.status);
+      this.settleFinished(run.task, done);
     } else {
       this.options.metrics?.wasted('result_untaken');
     }
-    const service = entry?.task.service ?? peer.services[0];
+    const service = run?.task.service ?? peer.services[0];
     if (service === undefined) return;
-    const lane = this.laneOf(service);
-    if (done.credit) lane.pool.add({ sidecar: peer.incarnation, credit: done.credit });
-    this.pump(lane);
+    const state = this.serviceOf(service);
+    if (done.credit) state.pool.add({ sidecar: peer.incarnation, credit: done.credit });
+    this.dispatch(state);
   }
 
-  /** Queues a task again that a sidecar refused: it was proven not to have run. */
+  /** Requeues a task that a sidecar has refused, as it is certain not to have run. */
   handleRefuse(peer: SidecarPeer, refuse: Refuse): void {
-    const entry = refuse.task && this.running.get(taskKey(refuse.task.job, refuse.task.index));
-    if (!entry || entry.sidecar !== peer.incarnation) return;
+    const run = refuse.task && this.running.get(taskKey(refuse.task.job, refuse.task.index));
+    if (!run || run.sidecar !== peer.incarnation) return;
     this.options.metrics?.startRefused(refuse.cause);
-    this.forget(entry);
-    this.laneOf(entry.task.service).ejections.taskNotRun(entry.sidecar);
+    this.untrack(run);
+    this.serviceOf(run.task.service).outliers.taskNotRun(run.sidecar);
     if (refuse.cause === RefusalCause.DUPLICATE) {
-      this.attemptLost(entry.task, 'the sidecar had started this task before');
+      this.handleLostAttempt(run.task, 'the sidecar had started this task before');
       return;
     }
-    // A sidecar of a later version may name a cause that is not in the table here.
+    // A sidecar of a later version may send a cause that is unknown here.
     const cause = RefusalCause[refuse.cause] ?? `cause ${refuse.cause}`;
-    this.startAgain(entry.task, `refused: ${cause.toLowerCase()}`);
+    this.requeueNotRun(run.task, `refused: ${cause.toLowerCase()}`);
   }
 
-  /** Queues the tasks again that a sidecar never started and, after its new link, never will. */
+  /** Requeues tasks whose start the sidecar did not receive before its new link, and never will. */
   handleReconciled(peer: SidecarPeer, { notHeld }: Reconciled): void {
     notHeld.forEach((id) => {
-      const entry = this.running.get(taskKey(id.job, id.index));
-      if (!entry || entry.sidecar !== peer.incarnation) return;
-      this.forget(entry);
-      this.laneOf(entry.task.service).ejections.taskNotRun(entry.sidecar);
-      this.giveBackOf(entry);
-      this.startAgain(entry.task, 'never started before the new link');
+      const run = this.running.get(taskKey(id.job, id.index));
+      if (!run || run.sidecar !== peer.incarnation) return;
+      this.untrack(run);
+      this.serviceOf(run.task.service).outliers.taskNotRun(run.sidecar);
+      this.returnCreditOf(run);
+      this.requeueNotRun(run.task, 'never started before the new link');
     });
   }
 
-  /** Awaits a task that a sidecar is known to run already, after a recovery. */
+  /** Tracks a task that a sidecar is already running, as found in a recovery. */
   trackAdopted(task: QueuedTask, sidecar: string): void {
     this.track({ task, sidecar });
   }
 
-  /** Answers another entry's ask for credits with half of the idle ones. */
+  /** Answers another entry's borrow request with up to half of the idle credits. */
   handleBorrow(entry: string, borrow: Borrow): Lend {
-    const lane = this.laneOf(borrow.service);
+    const state = this.serviceOf(borrow.service);
     this.entryLoads.setIdle(entry, borrow.service, 0);
-    const lend = this.lend(lane, entry, borrow.wanted);
-    if (lend.credits.length > 0) lane.wants.remove(entry);
-    else lane.wants.add(entry, borrow.wanted, this.options.timer.now());
+    const lend = this.lendCredits(state, entry, borrow.wanted);
+    if (lend.credits.length > 0) state.incomingBorrows.remove(entry);
+    else state.incomingBorrows.add(entry, borrow.wanted, this.options.timer.now());
     return lend;
   }
 
-  /** Takes the credits that another entry lent or returned; those that are of no use here go back. */
+  /** Adds the credits that another entry has lent or returned; those that can't be used here are sent back. */
   handleLend(entry: string, lend: Lend): void {
-    const lane = this.laneOf(lend.service);
-    if (!lend.returned) this.noteAnswer(lane, entry, lend);
-    const held = lend.credits.map((lent) => this.heldOf(entry, lend, lent));
+    const state = this.serviceOf(lend.service);
+    if (!lend.returned) this.recordBorrowAnswer(state, entry, lend);
+    const held = lend.credits.map((lent) => this.toHeldCredit(entry, lend, lent));
     const isUsable = ({ sidecar }: HeldCredit) => this.sidecars.get(sidecar)?.link !== undefined;
-    const useless = held.filter((one) => !isUsable(one));
-    held.filter(isUsable).forEach((usable) => lane.pool.add(usable));
-    this.giveBack(lane, useless);
-    this.entryLoads.setIdle(entry, lend.service, useless.length > 0 ? 0 : lend.idle);
-    // An entry that lent useless credits is not asked again at once: they would only go to and fro.
-    if (useless.length > 0) lane.asked.add(entry, lane.queue.length, this.options.timer.now());
-    this.pump(lane);
+    const unusable = held.filter((one) => !isUsable(one));
+    held.filter(isUsable).forEach((usable) => state.pool.add(usable));
+    this.returnCredits(state, unusable);
+    this.entryLoads.setIdle(entry, lend.service, unusable.length > 0 ? 0 : lend.idle);
+    // An entry that lent unusable credits is not asked again at once, or they would go back and forth.
+    if (unusable.length > 0)
+      state.outgoingBorrows.add(entry, state.queue.length, this.options.timer.now());
+    this.dispatch(state);
   }
 
-  /** Forgets an entry that was lost and has its sidecars renew the credits it had borrowed. */
+  /** Removes an entry that was lost, and has the sidecars renew the credits that it had borrowed. */
   entryLost(entry: string): void {
     this.entryLoads.remove(entry);
-    this.lanes.forEach((lane) => {
-      if (lane.asking === entry) lane.asking = undefined;
-      lane.asked.remove(entry);
-      lane.wants.remove(entry);
+    this.services.forEach((state) => {
+      if (state.awaitedLender === entry) state.awaitedLender = undefined;
+      state.outgoingBorrows.remove(entry);
+      state.incomingBorrows.remove(entry);
     });
     const bySidecar = new Map<string, HeldCredit[]>();
-    (this.lentTo.get(entry) ?? []).forEach((held) => {
+    (this.lentByEntry.get(entry) ?? []).forEach((held) => {
       bySidecar.set(held.sidecar, [...(bySidecar.get(held.sidecar) ?? []), held]);
     });
-    this.lentTo.delete(entry);
+    this.lentByEntry.delete(entry);
     bySidecar.forEach((lent, sidecar) => {
       const value = create(ReclaimSchema, { credits: lent.map(({ credit }) => credit) });
       this.send(sidecar, { case: 'reclaim', value });
     });
   }
 
-  /** Tries again to start waiting tasks; meant for when loads of other entries were heard. */
+  /** Tries again to start queued tasks; called when load reports of other entries have arrived. */
   dispatchQueued(): void {
-    this.lanes.forEach((lane) => this.pump(lane));
+    this.services.forEach((state) => this.dispatch(state));
   }
 
-  /** What this entry tells others of its idle credits and queues. */
+  /** The idle credits and queue lengths that this entry reports to others. */
   serviceLoads(): ServiceLoad[] {
-    return [...this.lanes].map(([service, lane]) => {
-      const oldest = lane.queue.oldestQueuedAt();
+    return [...this.services].map(([service, state]) => {
+      const oldest = state.queue.oldestQueuedAt();
       return create(ServiceLoadSchema, {
         service,
-        idle: this.idle(lane),
-        queued: lane.queue.length,
+        idle: this.idleCount(state),
+        queued: state.queue.length,
         oldestWaitMs: oldest === undefined ? 0 : Math.ceil(this.options.timer.now() - oldest),
-        teams: [...lane.teamsRunning]
+        teams: [...state.teamsRunning]
           .filter(([, running]) => running > 0)
           .map(([team, running]) => ({ team, running })),
       });
     });
   }
 
-  /** What a sidecar of some services needs of them: how long tasks have waited, where any wait. */
+  /** The longest wait in the queue of each of the services that has queued tasks, as sidecars need it. */
   oldestWaits(services: readonly string[]): ServiceLoad[] {
     return services.flatMap((service) => {
-      const oldest = this.lanes.get(service)?.queue.oldestQueuedAt();
+      const oldest = this.services.get(service)?.queue.oldestQueuedAt();
       if (oldest === undefined) return [];
       const oldestWaitMs = Math.ceil(this.options.timer.now() - oldest);
       return create(ServiceLoadSchema, { service, oldestWaitMs });
     });
   }
 
-  private laneOf(service: string): Lane {
-    let lane = this.lanes.get(service);
-    if (!lane) {
-      lane = {
+  private serviceOf(service: string): ServiceState {
+    let state = this.services.get(service);
+    if (!state) {
+      state = {
         service,
         queue: TeamQueue.create((team) => this.options.weightOf(team)),
         pool: CreditPool.create(),
         teamsRunning: new Map(),
-        pace: StartInterval.create(),
-        ejections: OutlierDetector.create(() => this.options.ejectionLimitsOf?.(service)),
-        asking: undefined,
-        asked: PendingBorrows.create(),
-        wants: PendingBorrows.create(),
-        placed: 0,
+        startInterval: StartInterval.create(),
+        outliers: OutlierDetector.create(() => this.options.ejectionLimitsOf?.(service)),
+        awaitedLender: undefined,
+        outgoingBorrows: PendingBorrows.create(),
+        incomingBorrows: PendingBorrows.create(),
+        placedCount: 0,
       };
-      this.lanes.set(service, lane);
+      this.services.set(service, state);
     }
-    return lane;
+    return state;
   }
 
-  private pump(lane: Lane): void {
-    while (lane.queue.length > 0 && this.mayPlace(lane)) {
-      const task = lane.queue.shift((team) => this.mayRun(lane, team));
+  private dispatch(state: ServiceState): void {
+    while (state.queue.length > 0 && this.canPlace(state)) {
+      const task = state.queue.shift((team) => this.isBelowTeamLimit(state, team));
       if (!task) return;
-      const place = this.place(lane);
+      const place = this.choosePlacement(state);
       if (!place) {
-        lane.queue.pushFront(task);
+        state.queue.pushFront(task);
         break;
       }
-      this.start(lane, task, place);
+      this.startTask(state, task, place);
     }
-    if (lane.queue.length > 0) this.borrow(lane);
-    else this.lendToWaiting(lane);
-  }
-
-  /** Lends credits that are idle now to the entries that asked when there were none. */
-  private lendToWaiting(lane: Lane): void {
-    while (this.idle(lane) > 0) {
-      const ask = lane.wants.takeOldest(this.options.timer.now());
-      if (!ask) return;
-      const value = this.lend(lane, ask.entry, ask.wanted);
-      if (!this.options.sendToEntry(ask.entry, { case: 'lend', value })) this.takeBack(lane, value);
+    if (state.queue.length > 0) this.requestCredits(state);
+    else this.lendToPending(state);
+  }
+
+  /** Lends idle credits to entries whose borrow requests are pending because there were none. */
+  private lendToPending(state: ServiceState): void {
+    while (this.idleCount(state) > 0) {
+      const request = state.incomingBorrows.takeOldest(this.options.timer.now());
+      if (!request) return;
+      const value = this.lendCredits(state, request.entry, request.wanted);
+      if (!this.options.sendToEntry(request.entry, { case: 'lend', value }))
+        this.restoreCredits(state, value);
     }
   }
 
-  private lend(lane: Lane, entry: string, wanted: number): Lend {
-    const taken = lane.pool.takeHalf(wanted, (sidecar) => this.avoids(lane, sidecar));
-    this.options.metrics?.creditsLent(lane.service, taken.length);
-    this.lentTo.set(entry, [...(this.lentTo.get(entry) ?? []), ...taken].slice(-LENT_KEPT));
+  private lendCredits(state: ServiceState, entry: string, wanted: number): Lend {
+    const taken = state.pool.takeHalf(wanted, (sidecar) => this.isAvoided(state, sidecar));
+    this.options.metrics?.creditsLent(state.service, taken.length);
+    this.lentByEntry.set(
+      entry,
+      [...(this.lentByEntry.get(entry) ?? []), ...taken].slice(-MAX_LENT_CREDITS),
+    );
     const credits = taken.map(({ sidecar, credit }) => ({ sidecar, credit }));
-    return create(LendSchema, { service: lane.service, credits, idle: this.idle(lane) });
+    return create(LendSchema, { service: state.service, credits, idle: this.idleCount(state) });
   }
 
-  private takeBack(lane: Lane, { credits }: Lend): void {
+  private restoreCredits(state: ServiceState, { credits }: Lend): void {
     credits.forEach(({ sidecar, credit }) => {
-      if (credit) lane.pool.add({ sidecar, credit });
+      if (credit) state.pool.add({ sidecar, credit });
     });
   }
 
-  private mayPlace(lane: Lane): boolean {
-    return this.options.policy !== 'credits' || lane.pool.size > 0;
+  private canPlace(state: ServiceState): boolean {
+    return this.options.policy !== 'credits' || state.pool.size > 0;
   }
 
-  private place(lane: Lane): Placement | undefined {
+  private choosePlacement(state: ServiceState): Placement | undefined {
     const { policy } = this.options;
-    if (policy !== 'credits') return this.placeFreely(lane, policy);
-    return lane.pool.take((sidecar) => this.avoids(lane, sidecar));
+    if (policy !== 'credits') return this.placeWithoutCredit(state, policy);
+    return state.pool.take((sidecar) => this.isAvoided(state, sidecar));
   }
 
-  private avoids(lane: Lane, sidecar: string): boolean {
+  private isAvoided(state: ServiceState, sidecar: string): boolean {
     if (this.sidecars.get(sidecar)?.suspected ?? true) return true;
-    return lane.ejections.isEjected(sidecar, this.options.timer.now());
+    return state.outliers.isEjected(sidecar, this.options.timer.now());
   }
 
-  private idle(lane: Lane): number {
-    return lane.pool.usableCount((sidecar) => this.avoids(lane, sidecar));
+  private idleCount(state: ServiceState): number {
+    return state.pool.usableCount((sidecar) => this.isAvoided(state, sidecar));
   }
 
-  private placeFreely(lane: Lane, policy: keyof typeof placementPolicies): Placement | undefined {
+  private placeWithoutCredit(
+    state: ServiceState,
+    policy: keyof typeof placementPolicies,
+  ): Placement | undefined {
     const candidates = [...this.sidecars.values()]
       .filter((peer) => peer.link && !peer.suspected && !peer.leaving)
-      .filter((peer) => peer.services.includes(lane.service))
+      .filter((peer) => peer.services.includes(state.service))
       .map(({ incarnation }) => ({
         incarnation,
-        outstanding: this.bySidecar.get(incarnation)?.size ?? 0,
+        outstanding: this.runningBySidecar.get(incarnation)?.size ?? 0,
       }));
     if (candidates.length === 0) return undefined;
-    lane.placed += 1;
-    const picked = placementPolicies[policy](candidates, lane.placed, this.options.random);
+    state.placedCount += 1;
+    const picked = placementPolicies[policy](candidates, state.placedCount, this.options.random);
     return { sidecar: picked.incarnation };
   }
 
-  private mayRun(lane: Lane, team: string): boolean {
+  private isBelowTeamLimit(state: ServiceState, team: string): boolean {
     const limit = this.options.maxRunningOf(team);
     if (limit === undefined) return true;
-    const here = lane.teamsRunning.get(team) ?? 0;
-    return here + this.entryLoads.runningCount(lane.service, team) < limit;
+    const here = state.teamsRunning.get(team) ?? 0;
+    return here + this.entryLoads.runningCount(state.service, team) < limit;
   }
 
-  private start(lane: Lane, task: QueuedTask, place: Placement): void {
+  private startTask(state: ServiceState, task: QueuedTask, place: Placement): void {
     const { timer, owner, viewNumber, metrics } = this.options;
     const { sidecar, credit } = place;
     metrics?.taskStarted(task.service, timer.now() - task.queuedAt);
-    lane.ejections.taskStarted(sidecar);
-    lane.pace.recordStart(timer.now(), lane.queue.length > 0);
+    state.outliers.taskStarted(sidecar);
+    state.startInterval.recordStart(timer.now(), state.queue.length > 0);
     task.onStarting(sidecar);
     this.track({ task, sidecar, place });
-    const oldest = lane.queue.oldestQueuedAt();
+    const oldest = state.queue.oldestQueuedAt();
     const value = create(StartSchema, {
       task: taskIdOf(task),
       service: task.service,
@@ -399,43 +409,47 @@
       digest: task.digest,
       jobSize: task.jobSize,
       createdMs: task.createdMs,
-      traceparent: this.trace(lane, task, { sidecar, credit }),
+      traceparent: this.traceparentFor(state, task, { sidecar, credit }),
     });
     this.send(sidecar, { case: 'start', value });
   }
 
-  private trace(lane: Lane, task: QueuedTask, place: Placement): string {
+  private traceparentFor(state: ServiceState, task: QueuedTask, place: Placement): string {
     const { tracer, policy } = this.options;
     if (!tracer) return task.traceparent;
     const peer = this.sidecars.get(place.sidecar);
-    const decision = { policy, place, peer, idle: lane.pool.size, queued: lane.queue.length };
+    const decision = { policy, place, peer, idle: state.pool.size, queued: state.queue.length };
     return traceStart(tracer, task, decision);
   }
 
-  private borrow(lane: Lane): void {
-    if (lane.asking !== undefined || this.options.policy !== 'credits') return;
-    const entry = this.lenderFor(lane);
+  private requestCredits(state: ServiceState): void {
+    if (state.awaitedLender !== undefined || this.options.policy !== 'credits') return;
+    const entry = this.chooseLender(state);
     if (entry === undefined) return;
-    const value = create(BorrowSchema, { service: lane.service, wanted: lane.queue.length });
+    const value = create(BorrowSchema, { service: state.service, wanted: state.queue.length });
     if (this.options.sendToEntry(entry, { case: 'borrow', value })) {
-      lane.asking = entry;
-      this.options.metrics?.borrowAsked(lane.service);
+      state.awaitedLender = entry;
+      this.options.metrics?.borrowAsked(state.service);
     } else {
       this.entryLoads.remove(entry);
     }
   }
 
-  /** Notes an answer to an ask; an entry without idle credits lends later, as soon as it has one. */
-  private noteAnswer(lane: Lane, entry: string, { credits }: Lend): void {
-    this.options.metrics?.creditsBorrowed(lane.service, credits.length);
-    if (lane.asking === entry) lane.asking = undefined;
-    if (credits.length > 0) lane.asked.remove(entry);
-    else lane.asked.add(entry, lane.queue.length, this.options.timer.now());
+  /** Records the answer to a borrow request; an entry without idle credits will lend as soon as it has one. */
+  private recordBorrowAnswer(state: ServiceState, entry: string, { credits }: Lend): void {
+    this.options.metrics?.creditsBorrowed(state.service, credits.length);
+    if (state.awaitedLender === entry) state.awaitedLender = undefined;
+    if (credits.length > 0) state.outgoingBorrows.remove(entry);
+    else state.outgoingBorrows.add(entry, state.queue.length, this.options.timer.now());
   }
 
-  private heldOf(entry: string, { returned }: Lend, { sidecar, credit }: LentCredit): HeldCredit {
+  private toHeldCredit(
+    entry: string,
+    { returned }: Lend,
+    { sidecar, credit }: LentCredit,
+  ): HeldCredit {
     if (!returned) return { sidecar, credit: credit!, lender: entry };
-    const lent = this.lentTo.get(entry) ?? [];
+    const lent = this.lentByEntry.get(entry) ?? [];
     const at = lent.findIndex(
       (one) =>
         one.sidecar === sidecar &&
@@ -445,9 +459,9 @@
     return at < 0 ? { sidecar, credit: credit! } : lent.splice(at, 1)[0]!;
   }
 
-  /** Returns borrowed credits to their lenders; a lender that is lost has had them renewed. */
-  private giveBack(lane: Lane, credits: readonly HeldCredit[]): void {
-    const { service, pool } = lane;
+  /** Returns borrowed credits to their lenders; those of a lost lender have been renewed. */
+  private returnCredits(state: ServiceState, credits: readonly HeldCredit[]): void {
+    const { service, pool } = state;
     const lenders = new Set(credits.flatMap(({ lender }) => lender ?? []));
     lenders.forEach((lender) => {
       const own = credits.filter((held) => held.lender === lender);
@@ -461,40 +475,40 @@
     });
   }
 
-  /** Returns the credit of a start that may never have arrived; if it did, the credit is stale. */
-  private giveBackOf({ task, sidecar, place }: RunningTask): void {
+  /** Returns the credit of a start that may not have arrived; if it has, the credit is stale. */
+  private returnCreditOf({ task, sidecar, place }: RunningTask): void {
     if (!place?.credit) return;
-    this.giveBack(this.laneOf(task.service), [
+    this.returnCredits(this.serviceOf(task.service), [
       { sidecar, credit: place.credit, lender: place.lender },
     ]);
   }
 
-  /** The entry thought to have most idle credits; else one that will lend as soon as it has one. */
-  private lenderFor(lane: Lane): string | undefined {
-    const known = this.entryLoads.mostIdle(lane.service);
-    if (known !== undefined) return known;
-    const open = lane.asked.entries(this.options.timer.now());
-    if (open.size >= MOST_OPEN_ASKS) return undefined;
-    return this.entryLoads.entries().find((entry) => !open.has(entry));
+  /** The entry with the most idle credits, as far as known; otherwise one to ask for the next idle credit. */
+  private chooseLender(state: ServiceState): string | undefined {
+    const mostIdle = this.entryLoads.mostIdle(state.service);
+    if (mostIdle !== undefined) return mostIdle;
+    const pending = state.outgoingBorrows.entries(this.options.timer.now());
+    if (pending.size >= MAX_OUTGOING_BORROWS) return undefined;
+    return this.entryLoads.entries().find((entry) => !pending.has(entry));
   }
 
-  private startAgain(task: QueuedTask, because: string): void {
+  private requeueNotRun(task: QueuedTask, reason: string): void {
     task.onNotStarted();
     if (!task.isWanted()) return;
-    task.requeued = { at: this.options.timer.now(), because };
-    const lane = this.laneOf(task.service);
-    lane.queue.pushFront(task);
-    this.pump(lane);
+    task.requeued = { at: this.options.timer.now(), reason };
+    const state = this.serviceOf(task.service);
+    state.queue.pushFront(task);
+    this.dispatch(state);
   }
 
-  private judge({ task, sidecar }: RunningTask, status: TaskStatus): void {
+  private recordOutcome({ task, sidecar }: RunningTask, status: TaskStatus): void {
     const failed = status === TaskStatus.FAILED || status === TaskStatus.LOST;
-    this.laneOf(task.service).ejections.taskEnded(sidecar, failed, this.options.timer.now());
+    this.serviceOf(task.service).outliers.taskEnded(sidecar, failed, this.options.timer.now());
   }
 
-  private settleDone(task: QueuedTask, done: Done): void {
+  private settleFinished(task: QueuedTask, done: Done): void {
     if (done.status === TaskStatus.LOST) {
-      this.attemptLost(task, done.reason);
+      this.handleLostAttempt(task, done.reason);
       return;
     }
     task.onSettled(
@@ -508,14 +522,14 @@
     );
   }
 
-  private attemptLost(task: QueuedTask, reason: string): void {
+  private handleLostAttempt(task: QueuedTask, reason: string): void {
     if (task.retryable && task.isWanted() && this.options.takeRetry(task.service)) {
       task.attempt += 1;
-      task.requeued = { at: this.options.timer.now(), because: reason };
+      task.requeued = { at: this.options.timer.now(), reason };
       this.options.metrics?.taskRetried(task.service);
-      const lane = this.laneOf(task.service);
-      lane.queue.pushFront(task);
-      this.pump(lane);
+      const state = this.serviceOf(task.service);
+      state.queue.pushFront(task);
+      this.dispatch(state);
       return;
     }
     task.onSettled(
@@ -523,22 +537,22 @@
     );
   }
 
-  private track(entry: RunningTask): void {
-    this.running.set(keyOf(entry.task), entry);
-    const tasks = this.bySidecar.get(entry.sidecar) ?? new Set();
-    tasks.add(entry);
-    this.bySidecar.set(entry.sidecar, tasks);
-    this.countTeam(entry.task, 1);
+  private track(run: RunningTask): void {
+    this.running.set(keyOf(run.task), run);
+    const tasks = this.runningBySidecar.get(run.sidecar) ?? new Set();
+    tasks.add(run);
+    this.runningBySidecar.set(run.sidecar, tasks);
+    this.countTeam(run.task, 1);
   }
 
-  private forget(entry: RunningTask): void {
-    this.running.delete(keyOf(entry.task));
-    this.bySidecar.get(entry.sidecar)?.delete(entry);
-    this.countTeam(entry.task, -1);
+  private untrack(run: RunningTask): void {
+    this.running.delete(keyOf(run.task));
+    this.runningBySidecar.get(run.sidecar)?.delete(run);
+    this.countTeam(run.task, -1);
   }
 
   private countTeam(task: QueuedTask, change: number): void {
-    const { teamsRunning } = this.laneOf(task.service);
+    const { teamsRunning } = this.serviceOf(task.service);
     teamsRunning.set(task.team, (teamsRunning.get(task.team) ?? 0) + change);
   }
 
@@ -547,37 +561,37 @@
   }
 }
 
-/** Everything of one service. */
-interface Lane {
+/** State of one service. */
+interface ServiceState {
   readonly service: string;
   readonly queue: TeamQueue;
   readonly pool: CreditPool;
   readonly teamsRunning: Map<string, number>;
-  readonly pace: StartInterval;
-  readonly ejections: OutlierDetector;
+  readonly startInterval: StartInterval;
+  readonly outliers: OutlierDetector;
   /** The entry that was asked for credits and has not answered. */
-  asking: string | undefined;
-  /** Entries that were asked, had no credit and will lend the next idle one. */
-  readonly asked: PendingBorrows;
-  /** Entries that asked when there was no credit here. */
-  readonly wants: PendingBorrows;
-  /** Tasks placed without a credit. */
-  placed: number;
+  awaitedLender: string | undefined;
+  /** Entries that were asked, had no idle credit and will lend the next one. */
+  readonly outgoingBorrows: PendingBorrows;
+  /** Entries that asked when there was no idle credit here. */
+  readonly incomingBorrows: PendingBorrows;
+  /** Number of tasks placed without a credit. */
+  placedCount: number;
 }
 
-/** A task with the sidecar that it was sent to. */
+/** A task that was sent to a sidecar and has not ended. */
 interface RunningTask {
   readonly task: QueuedTask;
   readonly sidecar: string;
-  /** Where it was placed, with the credit used; undefined for one that was adopted. */
+  /** Where it was placed, with the credit used; undefined for an adopted task. */
   readonly place?: Placement;
 }
 
-/** How many entries may have an unanswered need of this one noted at a time. */
-const MOST_OPEN_ASKS = 3;
+/** Maximum number of entries at which borrow requests of this one may be pending. */
+const MAX_OUTGOING_BORROWS = 3;
 
-/** How many lent credits are remembered for each entry; more than it can hold at once. */
-const LENT_KEPT = 16_384;
+/** Maximum number of lent credits that are remembered for each entry; more than it can hold at once. */
+const MAX_LENT_CREDITS = 16_384;
 
 function taskKey(job: string, index: number): string {
   return `${job}/${index}`;
--- a/src/dispatch/DispatcherOptions.ts
+++ b/src/dispatch/DispatcherOptions.ts
@@ -10,21 +10,21 @@
 export default interface DispatcherOptions {
   readonly timer: TimerService;
   readonly metrics?: EntryMetrics;
-  /** Traces tasks; undefined when nothing is traced. */
+  /** Records spans of tasks; undefined when tracing is off. */
   readonly tracer?: Tracer;
   readonly random: Random;
-  /** How a sidecar is found for a task. */
+  /** How a sidecar is chosen for a task. */
   readonly policy: PolicyName;
-  /** The incarnation of this entry, which its starts carry. */
+  /** The incarnation of this entry, sent with each start. */
   readonly owner: string;
   readonly viewNumber: () => bigint;
   /** A team's weight in the queue. */
   readonly weightOf: (team: string) => number;
-  /** How many tasks of a team may run at once, everywhere; undefined for no limit. */
+  /** Maximum number of running tasks of a team across all entries; undefined for no limit. */
   readonly maxRunningOf: (team: string) => number | undefined;
-  /** When a service's failing backend servers are left alone; the defaults when not given. */
+  /** When a service's failing backend servers are ejected; the defaults when not given. */
   readonly ejectionLimitsOf?: (service: string) => ServiceConfig['eject'] | undefined;
-  /** Takes one retry from a service's budget, if there is one. */
+  /** Takes one retry from a service's retry budget; false when none is left. */
   readonly takeRetry: (service: string) => boolean;
   /** Sends to another entry; false when there is no link to it. */
   readonly sendToEntry: (incarnation: string, message: PeerMessage) => boolean;
--- a/src/dispatch/EntryLoads.ts
+++ b/src/dispatch/EntryLoads.ts
@@ -1,38 +1,38 @@
 import type { ServiceLoad } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** What the other entries last said of their idle credits and queues. */
+/** The idle credits and queue lengths that the other entries last reported. */
 export default class EntryLoads {
   private readonly byEntry = new Map<string, Map<string, ServiceLoad>>();
 
   private constructor() {}
 
-  /** Creates a table that knows of no entry. */
+  /** Creates an empty table. */
   static create(): EntryLoads {
     return new EntryLoads();
   }
 
-  /** Takes the loads of one entry, in place of all it said before. */
+  /** Replaces the loads of an entry. */
   update(entry: string, loads: readonly ServiceLoad[]): void {
     this.byEntry.set(entry, new Map(loads.map((load) => [load.service, load])));
   }
 
-  /** Corrects the idle credits that an entry is thought to have for a service. */
+  /** Corrects the number of idle credits that an entry is assumed to have for a service. */
   setIdle(entry: string, service: string, idle: number): void {
     const load = this.byEntry.get(entry)?.get(service);
     if (load) load.idle = idle;
   }
 
-  /** Forgets an entry. */
+  /** Removes an entry. */
   remove(entry: string): void {
     this.byEntry.delete(entry);
   }
 
-  /** The entries that have said anything. */
+  /** The entries that have reported loads. */
   entries(): string[] {
     return [...this.byEntry.keys()];
   }
 
-  /** The entry thought to have the most idle credits for a service. */
+  /** The entry with the most idle credits for a service, as far as known; undefined if none has any. */
   mostIdle(service: string): string | undefined {
     let best: string | undefined;
     let bestIdle = 0;
@@ -46,7 +46,7 @@
     return best;
   }
 
-  /** Tasks of a team running through all other entries. */
+  /** Number of running tasks of a team that were started by other entries. */
   runningCount(service: string, team: string): number {
     let running = 0;
     this.byEntry.forEach((loads) => {
--- a/src/dispatch/OutlierDetector.ts
+++ b/src/dispatch/OutlierDetector.ts
@@ -1,9 +1,9 @@
 import type ServiceConfig from '../settings/ServiceConfig';
 
-/** When a backend server that fails is left alone, as the manifest says it. */
+/** When a failing backend server is ejected, as set in the manifest. */
 type Limits = Required<NonNullable<ServiceConfig['eject']>>;
 
-/** What a sidecar's tasks came to within the current window. */
+/** Number of finished and failed tasks of a sidecar in the current window. */
 interface Tally {
   readonly since: number;
   finished: number;
@@ -12,14 +12,14 @@
 
 interface Ejected {
   until: number;
-  /** True while the one trial task runs. */
-  onTrial: boolean;
+  /** Whether its probe task is running. */
+  isProbing: boolean;
 }
 
 /**
- * Keeps work away from backend servers that fail far more than the service's
- * others: one that fails at once is always idle and would draw all work. After
- * the probation a single task is tried; if that fails too, the probation
+ * Ejects backend servers that fail far more often than the service's others:
+ * one that fails at once is always idle and would attract all tasks. After the
+ * probation a single task is sent as a probe; if it fails too, the probation
  * starts again.
  */
 export default class OutlierDetector {
@@ -29,55 +29,55 @@
 
   private constructor(private readonly limits: () => Partial<Limits> | undefined) {}
 
-  /** Creates a judge of one service's sidecars; limits that are not given have the schema's defaults. */
+  /** Creates a detector for the sidecars of one service; limits that are not given have the schema's defaults. */
   static create(limits: () => Partial<Limits> | undefined): OutlierDetector {
     return new OutlierDetector(limits);
   }
 
-  /** Whether a sidecar gets no task now. */
+  /** Whether a sidecar is ejected and gets no task now. */
   isEjected(sidecar: string, now: number): boolean {
     const state = this.ejected.get(sidecar);
-    return state !== undefined && (state.onTrial || now < state.until);
+    return state !== undefined && (state.isProbing || now < state.until);
   }
 
-  /** Notes that a task was sent; for an ejected sidecar it is the trial. */
+  /** Records that a task was sent; for an ejected sidecar it is the probe. */
   taskStarted(sidecar: string): void {
     const state = this.ejected.get(sidecar);
-    if (state) state.onTrial = true;
+    if (state) state.isProbing = true;
   }
 
-  /** Notes that a start was not run: a trial has yet to come. */
+  /** Records that a start was not run: an ejected sidecar still needs a probe. */
   taskNotRun(sidecar: string): void {
     const state = this.ejected.get(sidecar);
-    if (state) state.onTrial = false;
+    if (state) state.isProbing = false;
   }
 
-  /** Notes how a task ended. */
+  /** Records whether a task failed. */
   taskEnded(sidecar: string, failed: boolean, now: number): void {
-    const limits = { ...DEFAULTS, ...this.limits() };
+    const limits = { ...DEFAULT_LIMITS, ...this.limits() };
     const state = this.ejected.get(sidecar);
     if (state) {
-      this.endTrial(sidecar, state, failed, now + limits.probationMs);
+      this.endProbe(sidecar, state, failed, now + limits.probationMs);
       return;
     }
     const tally = this.tallyOf(sidecar, now, limits.windowMs);
     tally.finished += 1;
     if (!failed) return;
     tally.failed += 1;
-    if (this.isFarWorse(sidecar, tally, limits)) {
-      this.ejected.set(sidecar, { until: now + limits.probationMs, onTrial: false });
+    if (this.isOutlier(sidecar, tally, limits)) {
+      this.ejected.set(sidecar, { until: now + limits.probationMs, isProbing: false });
     }
   }
 
-  /** Forgets a sidecar that is lost. */
+  /** Removes a sidecar that is lost. */
   remove(sidecar: string): void {
     this.tallies.delete(sidecar);
     this.ejected.delete(sidecar);
   }
 
-  private endTrial(sidecar: string, state: Ejected, failed: boolean, until: number): void {
-    if (!state.onTrial) return;
-    if (failed) Object.assign(state, { until, onTrial: false });
+  private endProbe(sidecar: string, state: Ejected, failed: boolean, until: number): void {
+    if (!state.isProbing) return;
+    if (failed) Object.assign(state, { until, isProbing: false });
     else this.remove(sidecar);
   }
 
@@ -90,7 +90,7 @@
     return tally;
   }
 
-  private isFarWorse(sidecar: string, { finished, failed }: Tally, limits: Limits): boolean {
+  private isOutlier(sidecar: string, { finished, failed }: Tally, limits: Limits): boolean {
     if (finished < limits.minTasks) return false;
     if (this.ejected.size + 1 > this.tallies.size * limits.maxShare) return false;
     let othersFinished = 0;
@@ -100,12 +100,12 @@
       othersFinished += tally.finished;
       othersFailed += tally.failed;
     });
-    const usual = othersFinished === 0 ? 0 : othersFailed / othersFinished;
-    return failed / finished - usual >= limits.failureShare;
+    const othersFailureRate = othersFinished === 0 ? 0 : othersFailed / othersFinished;
+    return failed / finished - othersFailureRate >= limits.failureShare;
   }
 }
 
-const DEFAULTS: Limits = {
+const DEFAULT_LIMITS: Limits = {
   failureShare: 0.5,
   minTasks: 20,
   windowMs: 10_000,
--- a/src/dispatch/PendingBorrows.ts
+++ b/src/dispatch/PendingBorrows.ts
@@ -1,56 +1,56 @@
-/** An ask for credits that found none. */
-interface Ask {
+/** A request to lend credits that could not be met at once. */
+interface BorrowRequest {
   readonly entry: string;
   readonly wanted: number;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 /**
- * Asks for credits that found none and stay open for a while, one for each
- * entry. Both sides keep them: the lender to lend once it can, the borrower so
- * as not to ask again meanwhile.
+ * Borrow requests that could not be met at once and stay pending for a while,
+ * at most one for each entry. The lender keeps them to lend once it can, the
+ * borrower so as not to ask again in the meantime.
  */
 export default class PendingBorrows {
-  private readonly asks = new Map<string, Ask>();
+  private readonly requests = new Map<string, BorrowRequest>();
 
   private constructor() {}
 
-  /** Creates a list without asks. */
+  /** Creates an empty list. */
   static create(): PendingBorrows {
     return new PendingBorrows();
   }
 
-  /** Notes an ask; it replaces an earlier one of the same entry. */
-  add(entry: string, wanted: number, askedAt: number): void {
-    this.asks.delete(entry);
-    this.asks.set(entry, { entry, wanted, askedAt });
+  /** Adds a request, replacing an earlier one of the same entry. */
+  add(entry: string, wanted: number, requestedAt: number): void {
+    this.requests.delete(entry);
+    this.requests.set(entry, { entry, wanted, requestedAt });
   }
 
-  /** Ends the ask of an entry. */
+  /** Removes the request of an entry. */
   remove(entry: string): void {
-    this.asks.delete(entry);
+    this.requests.delete(entry);
   }
 
-  /** Takes the oldest ask that is still open. */
-  takeOldest(now: number): Ask | undefined {
+  /** Removes and returns the oldest pending request. */
+  takeOldest(now: number): BorrowRequest | undefined {
     this.expire(now);
-    const oldest = this.asks.values().next().value;
-    if (oldest) this.asks.delete(oldest.entry);
+    const oldest = this.requests.values().next().value;
+    if (oldest) this.requests.delete(oldest.entry);
     return oldest;
   }
 
-  /** The entries with an open ask. */
+  /** The entries with a pending request. */
   entries(now: number): ReadonlySet<string> {
     this.expire(now);
-    return new Set(this.asks.keys());
+    return new Set(this.requests.keys());
   }
 
   private expire(now: number): void {
-    this.asks.forEach(({ entry, askedAt }) => {
-      if (now - askedAt >= OPEN_MS) this.asks.delete(entry);
+    this.requests.forEach(({ entry, requestedAt }) => {
+      if (now - requestedAt >= PENDING_MS) this.requests.delete(entry);
     });
   }
 }
 
-/** How long an ask stays open. */
-const OPEN_MS = 1000;
+/** How long a request stays pending. */
+const PENDING_MS = 1000;
--- a/src/dispatch/QueuedTask.ts
+++ b/src/dispatch/QueuedTask.ts
@@ -1,6 +1,6 @@
 import type { TaskResult } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** One task that an owner wants started, with what its start says of the job. */
+/** A task that the owner of its job wants started, with the fields of its start message. */
 export default interface QueuedTask {
   readonly job: string;
   readonly index: number;
@@ -14,18 +14,18 @@
   readonly traceparent: string;
   /** Whether a lost attempt may be followed by another one. */
   readonly retryable: boolean;
-  /** When the task joined the queue, by the timer service. */
+  /** When the task was queued, by the timer service. */
   readonly queuedAt: number;
-  /** Set when the task had to be queued again: when, and why. */
-  requeued?: { readonly at: number; readonly because: string };
-  /** Grows with each attempt of a retryable task; 0 for tasks of jobs. */
+  /** When and why the task was queued again, if it was. */
+  requeued?: { readonly at: number; readonly reason: string };
+  /** Incremented with each attempt of a retryable task; 0 for tasks of jobs. */
   attempt: number;
-  /** Whether its result can still matter. */
+  /** Whether its result is still needed. */
   readonly isWanted: () => boolean;
-  /** Told once a start is about to be sent to the sidecar named. */
+  /** Called when a start is about to be sent to the given sidecar. */
   readonly onStarting: (sidecar: string) => void;
-  /** Told once a start was proven not to have run, before the task is queued again. */
+  /** Called when a start is certain not to have run, before the task is queued again. */
   readonly onNotStarted: () => void;
-  /** Told the result, once. */
+  /** Called once, with the result. */
   readonly onSettled: (result: TaskResult) => void;
 }
--- a/src/dispatch/SidecarPeer.ts
+++ b/src/dispatch/SidecarPeer.ts
@@ -1,26 +1,26 @@
 import type Link from '../link/Link';
 
-/** One running sidecar as an entry sees it, from its first link to its end. */
+/** An entry's state for one sidecar process, from its first link to its end. */
 export default class SidecarPeer {
   /** The open link; undefined between two links. */
   link: Link | undefined;
 
-  /** True while nothing has been heard from the sidecar for the suspicion time. */
+  /** True while nothing has been received from the sidecar for the suspicion time. */
   suspected = false;
 
-  /** True once the sidecar said that it takes no further starts. */
+  /** True once the sidecar has announced that it accepts no further starts. */
   leaving = false;
 
-  /** True once the sidecar said goodbye: nothing more comes from it. */
+  /** True once the sidecar has sent a goodbye, after which it sends nothing more. */
   saidGoodbye = false;
 
-  /** The newest configuration version it reported in force. */
+  /** The newest configuration version that it has reported as in effect. */
   configurationVersion = 0n;
 
   /** The services of its backend servers. */
   services: readonly string[] = [];
 
-  /** Address of its operators' listener; empty when it told none. */
+  /** Address of its operators' listener; empty when it has sent none. */
   operatorsAddress = '';
 
   private constructor(
--- a/src/dispatch/StartInterval.ts
+++ b/src/dispatch/StartInterval.ts
@@ -1,30 +1,30 @@
-/** How fast tasks leave a queue, as a moving average of the time between starts. */
+/** Moving average of the time between task starts, which shows how fast a queue moves. */
 export default class StartInterval {
-  private lastAt: number | undefined;
+  private previousStartAt: number | undefined;
 
   private average = 0;
 
   private constructor() {}
 
-  /** Creates a pace that has seen no start. */
+  /** Creates an average without any start. */
   static create(): StartInterval {
     return new StartInterval();
   }
 
-  /** Average time between two starts while tasks were waiting; 0 before there were any. */
+  /** Average time between two starts while tasks were queued, in ms; 0 before there were any. */
   get averageMs(): number {
     return this.average;
   }
 
-  /** Notes a start. Only the time after a start that left others waiting says how fast the queue moves. */
+  /** Records a start. An interval counts only if tasks stayed queued after the earlier start. */
   recordStart(now: number, othersWait: boolean): void {
-    if (this.lastAt !== undefined) {
-      const intervalMs = now - this.lastAt;
-      this.average += (intervalMs - this.average) * WEIGHT;
+    if (this.previousStartAt !== undefined) {
+      const intervalMs = now - this.previousStartAt;
+      this.average += (intervalMs - this.average) * SMOOTHING_FACTOR;
     }
-    this.lastAt = othersWait ? now : undefined;
+    this.previousStartAt = othersWait ? now : undefined;
   }
 }
 
 /** Weight of the newest interval. */
-const WEIGHT = 0.05;
+const SMOOTHING_FACTOR = 0.05;
--- a/src/dispatch/TeamQueue.ts
+++ b/src/dispatch/TeamQueue.ts
@@ -1,156 +1,156 @@
 import type QueuedTask from './QueuedTask';
 
 /**
- * The waiting tasks of one service, shared fairly between teams by deficit
+ * The queued tasks of one service, taken from the teams by weighted deficit
  * round robin. Each team's tasks keep their order, so that a job's tasks start
  * together and jobs finish one after the other.
  */
 export default class TeamQueue {
-  private readonly teams = new Map<string, TeamLine>();
+  private readonly backlogs = new Map<string, TeamBacklog>();
 
-  /** Teams with waiting tasks, the one whose turn it is first. */
-  private readonly turns: TeamLine[] = [];
+  /** Teams with queued tasks, the next one in turn first. */
+  private readonly activeTeams: TeamBacklog[] = [];
 
-  private waiting = 0;
+  private queuedCount = 0;
 
-  private constructor(private readonly shareOf: (team: string) => number) {}
+  private constructor(private readonly weightOf: (team: string) => number) {}
 
-  /** Creates an empty queue; `shareOf` gives a team's weight, 1 for an ordinary one. */
-  static create(shareOf: (team: string) => number): TeamQueue {
-    return new TeamQueue(shareOf);
+  /** Creates an empty queue; `weightOf` returns a team's weight, 1 by default. */
+  static create(weightOf: (team: string) => number): TeamQueue {
+    return new TeamQueue(weightOf);
   }
 
-  /** Number of waiting tasks. */
+  /** Number of queued tasks. */
   get length(): number {
-    return this.waiting;
+    return this.queuedCount;
   }
 
-  /** Adds a task behind its team's others. */
+  /** Appends a task to its team's queue. */
   push(task: QueuedTask): void {
-    this.lineOf(task.team).tasks.push(task);
-    this.waiting += 1;
+    this.backlogOf(task.team).tasks.push(task);
+    this.queuedCount += 1;
   }
 
-  /** Puts a task back before its team's others, after a start that was not run. */
+  /** Puts a task back at the head of its team's queue, after a start that was not run. */
   pushFront(task: QueuedTask): void {
-    const line = this.lineOf(task.team);
-    if (line.head > 0) {
-      line.head -= 1;
-      line.tasks[line.head] = task;
+    const backlog = this.backlogOf(task.team);
+    if (backlog.head > 0) {
+      backlog.head -= 1;
+      backlog.tasks[backlog.head] = task;
     } else {
-      line.tasks.unshift(task);
+      backlog.tasks.unshift(task);
     }
-    this.waiting += 1;
+    this.queuedCount += 1;
   }
 
-  /** Takes the next task in turn for which `allowed` holds for its team. */
+  /** Removes and returns the next task in turn of a team for which `allowed` returns true. */
   shift(allowed: (team: string) => boolean = () => true): QueuedTask | undefined {
     let skipped = 0;
-    while (this.turns.length > skipped) {
-      const line = this.turns[0]!;
-      if (line.head >= line.tasks.length) {
-        this.endTurns(line);
-      } else if (!allowed(line.team)) {
-        this.turns.push(this.turns.shift()!);
+    while (this.activeTeams.length > skipped) {
+      const backlog = this.activeTeams[0]!;
+      if (backlog.head >= backlog.tasks.length) {
+        this.deactivate(backlog);
+      } else if (!allowed(backlog.team)) {
+        this.activeTeams.push(this.activeTeams.shift()!);
         skipped += 1;
-      } else if (line.deficit < 1) {
-        line.deficit += this.shareOf(line.team);
-        this.turns.push(this.turns.shift()!);
+      } else if (backlog.deficit < 1) {
+        backlog.deficit += this.weightOf(backlog.team);
+        this.activeTeams.push(this.activeTeams.shift()!);
         skipped = 0;
       } else {
-        return this.takeFrom(line);
+        return this.takeFrom(backlog);
       }
     }
     return undefined;
   }
 
-  /** Removes the tasks and returns those that were waiting here. */
+  /** Removes the tasks and returns those that were queued here. */
   remove(tasks: ReadonlySet<QueuedTask>): QueuedTask[] {
     const removed: QueuedTask[] = [];
-    this.teams.forEach((line) => {
+    this.backlogs.forEach((backlog) => {
       const kept: QueuedTask[] = [];
-      for (let at = line.head; at < line.tasks.length; at += 1) {
-        const task = line.tasks[at]!;
+      for (let at = backlog.head; at < backlog.tasks.length; at += 1) {
+        const task = backlog.tasks[at]!;
         (tasks.has(task) ? removed : kept).push(task);
       }
-      line.tasks = kept;
-      line.head = 0;
+      backlog.tasks = kept;
+      backlog.head = 0;
     });
-    this.waiting -= removed.length;
+    this.queuedCount -= removed.length;
     return removed;
   }
 
-  /** When the longest waiting task joined the queue; undefined when none waits. */
+  /** When the oldest task was queued; undefined when the queue is empty. */
   oldestQueuedAt(): number | undefined {
     let oldest: number | undefined;
-    this.turns.forEach((line) => {
-      const first = line.tasks[line.head];
+    this.activeTeams.forEach((backlog) => {
+      const first = backlog.tasks[backlog.head];
       if (first && (oldest === undefined || first.queuedAt < oldest)) oldest = first.queuedAt;
     });
     return oldest;
   }
 
-  /** About how many tasks are started before the last one of a team, by the teams' shares. */
+  /** Estimated number of tasks that start before a further task of the team, by the teams' weights. */
   tasksAhead(team: string): number {
-    const line = this.teams.get(team);
-    const own = line ? line.tasks.length - line.head : 0;
+    const backlog = this.backlogs.get(team);
+    const own = backlog ? backlog.tasks.length - backlog.head : 0;
     let ahead = own;
     this.forEachTeam((other, queued) => {
       if (other === team) return;
-      ahead += Math.min(queued, ((own + 1) * this.shareOf(other)) / this.shareOf(team));
+      ahead += Math.min(queued, ((own + 1) * this.weightOf(other)) / this.weightOf(team));
     });
     return ahead;
   }
 
-  /** Calls the visitor with each team that has waiting tasks and their number. */
+  /** Calls `visit` with each team that has queued tasks and the number of them. */
   forEachTeam(visit: (team: string, queued: number) => void): void {
-    this.teams.forEach((line) => {
-      const queued = line.tasks.length - line.head;
-      if (queued > 0) visit(line.team, queued);
+    this.backlogs.forEach((backlog) => {
+      const queued = backlog.tasks.length - backlog.head;
+      if (queued > 0) visit(backlog.team, queued);
     });
   }
 
-  private lineOf(team: string): TeamLine {
-    let line = this.teams.get(team);
-    if (!line) {
-      line = { team, tasks: [], head: 0, deficit: 0, inTurn: false };
-      this.teams.set(team, line);
+  private backlogOf(team: string): TeamBacklog {
+    let backlog = this.backlogs.get(team);
+    if (!backlog) {
+      backlog = { team, tasks: [], head: 0, deficit: 0, isActive: false };
+      this.backlogs.set(team, backlog);
     }
-    if (!line.inTurn) {
-      line.inTurn = true;
-      line.deficit = this.shareOf(team);
-      this.turns.push(line);
+    if (!backlog.isActive) {
+      backlog.isActive = true;
+      backlog.deficit = this.weightOf(team);
+      this.activeTeams.push(backlog);
     }
-    return line;
+    return backlog;
   }
 
-  private takeFrom(line: TeamLine): QueuedTask {
-    const task = line.tasks[line.head]!;
-    line.head += 1;
-    line.deficit -= 1;
-    this.waiting -= 1;
-    if (line.head > COMPACT_AFTER) compact(line);
+  private takeFrom(backlog: TeamBacklog): QueuedTask {
+    const task = backlog.tasks[backlog.head]!;
+    backlog.head += 1;
+    backlog.deficit -= 1;
+    this.queuedCount -= 1;
+    if (backlog.head > COMPACT_THRESHOLD) compact(backlog);
     return task;
   }
 
-  private endTurns(line: TeamLine): void {
-    this.turns.shift();
-    this.teams.delete(line.team);
+  private deactivate(backlog: TeamBacklog): void {
+    this.activeTeams.shift();
+    this.backlogs.delete(backlog.team);
   }
 }
 
-/** One team's waiting tasks, from `head` on. */
-interface TeamLine {
+/** One team's queued tasks, from index `head` on. */
+interface TeamBacklog {
   readonly team: string;
   tasks: QueuedTask[];
   head: number;
   deficit: number;
-  inTurn: boolean;
+  isActive: boolean;
 }
 
-const COMPACT_AFTER = 1024;
+const COMPACT_THRESHOLD = 1024;
 
-function compact(line: TeamLine): void {
-  line.tasks.splice(0, line.head);
-  line.head = 0;
+function compact(backlog: TeamBacklog): void {
+  backlog.tasks.splice(0, backlog.head);
+  backlog.head = 0;
 }
--- a/src/dispatch/placementPolicies.ts
+++ b/src/dispatch/placementPolicies.ts
@@ -4,17 +4,21 @@
 /** A sidecar that could take a task. */
 interface Candidate {
   readonly incarnation: string;
-  /** Tasks that this entry has sent there and that have not ended. */
+  /** Number of tasks that this entry has sent there and that have not ended. */
   readonly outstanding: number;
 }
 
-type Picker = (candidates: readonly Candidate[], turn: number, random: Random) => Candidate;
+type PlacementPolicy = (
+  candidates: readonly Candidate[],
+  turn: number,
+  random: Random,
+) => Candidate;
 
 /**
- * Policies that start a task at once, without a credit, and have the sidecar
- * queue it. They are there to compare credits with.
+ * Policies that start a task at once, without a credit, and leave the queueing
+ * to the sidecar. They serve as a baseline for credits.
  */
-const placementPolicies: Record<Exclude<PolicyName, 'credits'>, Picker> = {
+const placementPolicies: Record<Exclude<PolicyName, 'credits'>, PlacementPolicy> = {
   random: (candidates, _turn, random) => candidates[random.below(candidates.length)]!,
   roundRobin: (candidates, turn) => candidates[turn % candidates.length]!,
   powerOfTwo: (candidates, _turn, random) => {
--- a/src/dispatch/traceStart.ts
+++ b/src/dispatch/traceStart.ts
@@ -5,25 +5,25 @@
 import type QueuedTask from './QueuedTask';
 import type SidecarPeer from './SidecarPeer';
 
-/** What is known when a task is about to be started. */
-interface Decision {
+/** What led to the start of a task, for its span. */
+interface StartDecision {
   readonly policy: PolicyName;
   readonly place: Placement;
   readonly peer: SidecarPeer | undefined;
-  /** Credits that stay idle for the service. */
+  /** Idle credits of the service that are left. */
   readonly idle: number;
-  /** Tasks that stay in the queue of the service. */
+  /** Queued tasks of the service that are left. */
   readonly queued: number;
 }
 
 /**
- * Tells of a task's time in the queue and of the choice that ended it, when the task is traced.
- * Returns what its start is to carry as `traceparent`.
+ * Records a span of a task's time in the queue, with the placement chosen, if the task is traced.
+ * Returns the `traceparent` for its start message.
  */
 export default function traceStart(
   tracer: Tracer | undefined,
   task: QueuedTask,
-  { policy, place, peer, idle, queued }: Decision,
+  { policy, place, peer, idle, queued }: StartDecision,
 ): string {
   const since = task.requeued?.at ?? task.queuedAt;
   const span = tracer?.hop('queue', SpanKind.INTERNAL, task.traceparent, since);
@@ -33,13 +33,17 @@
   span.set({ 'chosen.sidecar': peer?.instance ?? place.sidecar, 'chosen.zone': peer?.zone ?? '' });
   const { credit } = place;
   if (credit) span.set({ 'chosen.slot': credit.slot, 'chosen.generation': credit.generation });
-  span.set({ 'chosen.because': reasons[policy], 'credits.left': idle, 'queue.left': queued });
-  if (task.requeued) span.set({ 'requeued.because': task.requeued.because });
+  span.set({
+    'chosen.because': POLICY_REASONS[policy],
+    'credits.left': idle,
+    'queue.left': queued,
+  });
+  if (task.requeued) span.set({ 'requeued.because': task.requeued.reason });
   span.end();
   return span.traceparent;
 }
 
-const reasons: Readonly<Record<PolicyName, string>> = {
+const POLICY_REASONS: Readonly<Record<PolicyName, string>> = {
   credits: 'most idle credits of the sidecars not suspected',
   leastOutstanding: 'fewest tasks of this entry outstanding',
   powerOfTwo: 'fewer tasks of this entry outstanding of two picked at random',
