--- a/src/recovery/FenceConfirmations.ts
+++ b/src/recovery/FenceConfirmations.ts
@@ -1,10 +1,10 @@
 import type { Fenced } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** What sidecars have confirmed of views, and the jobs of removed owners that they named. */
+/** The views that sidecars have confirmed, and the jobs of removed owners that they reported with them. */
 export default class FenceConfirmations {
-  private readonly confirmed = new Map<string, Set<bigint>>();
+  private readonly viewsBySidecar = new Map<string, Set<bigint>>();
 
-  private readonly named = new Map<string, Set<string>>();
+  private readonly sidecarsByJob = new Map<string, Set<string>>();
 
   private readonly waiters = new Set<() => void>();
 
@@ -15,49 +15,50 @@
     return new FenceConfirmations();
   }
 
-  /** Takes a sidecar's confirmation. */
+  /** Adds a sidecar's confirmation. */
   add(sidecar: string, fenced: Fenced): void {
-    const views = this.confirmed.get(sidecar) ?? new Set();
+    const views = this.viewsBySidecar.get(sidecar) ?? new Set();
     views.add(fenced.viewNumber);
-    this.confirmed.set(sidecar, views);
+    this.viewsBySidecar.set(sidecar, views);
     fenced.jobs.forEach((job) => {
-      const sidecars = this.named.get(job) ?? new Set();
+      const sidecars = this.sidecarsByJob.get(job) ?? new Set();
       sidecars.add(sidecar);
-      this.named.set(job, sidecars);
+      this.sidecarsByJob.set(job, sidecars);
     });
     this.notifyChange();
   }
 
   /**
-   * Numbers of the views that a sidecar confirmed. It refuses starts of owners
-   * outside each of them ever after, also when it is lost later.
+   * Numbers of the views that a sidecar has confirmed. From each confirmation
+   * on it refuses starts of owners outside that view; the confirmation remains
+   * valid if the sidecar is lost later.
    */
   confirmedViews(sidecar: string): bigint[] {
-    return [...(this.confirmed.get(sidecar) ?? [])];
+    return [...(this.viewsBySidecar.get(sidecar) ?? [])];
   }
 
-  /** The sidecars that confirmed any view. */
+  /** The sidecars that have confirmed any view. */
   get sidecars(): string[] {
-    return [...this.confirmed.keys()];
+    return [...this.viewsBySidecar.keys()];
   }
 
-  /** The sidecars that named a job. */
+  /** The sidecars that have reported a job. */
   sidecarsWithJob(job: string): string[] {
-    return [...(this.named.get(job) ?? [])];
+    return [...(this.sidecarsByJob.get(job) ?? [])];
   }
 
-  /** Forgets the confirmations of all sidecars but these. */
+  /** Drops the confirmations of all sidecars but these. */
   retain(sidecars: ReadonlySet<string>): void {
-    [...this.confirmed.keys()]
+    [...this.viewsBySidecar.keys()]
       .filter((sidecar) => !sidecars.has(sidecar))
-      .forEach((sidecar) => this.confirmed.delete(sidecar));
+      .forEach((sidecar) => this.viewsBySidecar.delete(sidecar));
   }
 
-  /** Wakes those who wait for a change; meant for when something they look at changed elsewhere. */
+  /** Resolves the promises of `nextChange`; also to be called when other state that their holders depend on changes. */
   notifyChange(): void {
-    const waiting = [...this.waiters];
+    const resolvers = [...this.waiters];
     this.waiters.clear();
-    waiting.forEach((wake) => wake());
+    resolvers.forEach((resolve) => resolve());
   }
 
   /** Resolves at the next change. */
--- a/src/recovery/JobInquiry.ts
+++ b/src/recovery/JobInquiry.ts
@@ -1,11 +1,11 @@
 import type { Testimony } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** A job to be found out about, with what its former owners said of it. */
+/** A job whose state is being recovered, with the evidence from its former owners. */
 export default interface JobInquiry {
   readonly job: string;
-  /** Wall-clock time at which the caller created it. */
+  /** Wall-clock time at which the caller created the job, in ms. */
   readonly createdMs: number;
   readonly testimonies: readonly Testimony[];
-  /** Sidecars that former owners heard name the job. */
+  /** Sidecars that reported the job to a former owner. */
   readonly named: readonly string[];
 }
--- a/src/recovery/RecoveredState.ts
+++ b/src/recovery/RecoveredState.ts
@@ -1,12 +1,12 @@
 import type LocatedTask from './LocatedTask';
 
 /**
- * What is known of a job that this entry has no record of.
+ * What could be found out about a job of which this entry has no record.
  *
- * - `fresh`: no task of it was ever started.
- * - `held`: another entry holds its record.
- * - `continued`: sidecars hold evidence of it; with `doubt`, other evidence may be lost.
- * - `unavailable`: it can't be told now.
+ * - `fresh`: none of its tasks was ever started.
+ * - `held`: another entry has its record.
+ * - `continued`: sidecars have evidence of started tasks; with `doubt`, further evidence may have been lost.
+ * - `unavailable`: the state can't be determined now.
  */
 type RecoveredState =
   | { readonly kind: 'fresh' }
--- a/src/recovery/Recovery.ts
+++ b/src/recovery/Recovery.ts
@@ -14,16 +14,16 @@
 } from '../gen/magnoliakeel/v1/peer_pb';
 import FenceConfirmations from './FenceConfirmations';
 import type JobInquiry from './JobInquiry';
-import type PastOwner from './PastOwner';
-import pastOwners from './pastOwners';
+import type FormerOwner from './FormerOwner';
+import formerOwners from './formerOwners';
 import type RecoveredState from './RecoveredState';
 import type RecoveryOptions from './RecoveryOptions';
 import Settlements from './Settlements';
 import SidecarRoster from './SidecarRoster';
 
 /**
- * Finds out what happened to a job before this entry owned it, from the past
- * owners that are still members and from the sidecars that saw every start.
+ * Determines the state of a job from before this entry owned it, by asking the
+ * former owners that are still members and the sidecars, which see every start.
  * The design is in `docs/design/ownership.md`.
  */
 export default class Recovery {
@@ -33,91 +33,91 @@
 
   readonly confirmations = FenceConfirmations.create();
 
-  private readonly informants = new Set<string>();
+  private readonly rosterSources = new Set<string>();
 
   private constructor(private readonly options: RecoveryOptions) {}
 
-  /** Creates the recovery of an entry that has heard nothing yet. */
+  /** Creates the recovery of an entry that has received nothing yet. */
   static create(options: RecoveryOptions): Recovery {
     return new Recovery(options);
   }
 
-  /** Takes another entry's roster and returns what was new in it. */
+  /** Merges another entry's roster and returns the items that were new. */
   mergeRoster(entry: string, items: readonly RosterItem[]): RosterItem[] {
-    this.informants.add(entry);
-    const news = this.roster.merge(items);
+    this.rosterSources.add(entry);
+    const newItems = this.roster.merge(items);
     this.confirmations.notifyChange();
-    return news;
+    return newItems;
   }
 
-  /** Takes a settlement and says whether it was new. */
+  /** Adds a settlement; returns whether it was new. */
   addSettlement(settlement: Settlement): boolean {
     const isNew = this.settlements.add(settlement);
     if (isNew) this.confirmations.notifyChange();
     return isNew;
   }
 
-  /** Takes a sidecar's confirmation of a view. */
+  /** Handles a sidecar's confirmation of a view. */
   handleFenced(sidecar: string, fenced: Fenced): void {
     this.confirmations.add(sidecar, fenced);
   }
 
-  /** Tells what is known of a job without a record here that was created at a wall-clock time. */
+  /** Determines the state of a job that has no record here and was created at a wall-clock time, in ms. */
   async recover(job: string, createdMs: number): Promise<RecoveredState> {
     const sinceMs = createdMs - this.options.clockSkewMs;
-    const owners = pastOwners(this.options.views.current, job, sinceMs, this.options.self);
-    const claims = await this.claim(job, owners);
-    const verdict = claims.find(isHeld) ?? claims.find(isVerdict);
-    if (verdict) return verdict;
-    const told = claims.filter(isTold);
-    const testimonies = told.flatMap((claim) => claim.testimonies);
-    const named = told.flatMap((claim) => claim.named);
+    const owners = formerOwners(this.options.views.current, job, sinceMs, this.options.self);
+    const answers = await this.askFormerOwners(job, owners);
+    const state = answers.find(isHeldElsewhere) ?? answers.find(isRecoveredState);
+    if (state) return state;
+    const responses = answers.filter(isClaimResponse);
+    const testimonies = responses.flatMap((response) => response.testimonies);
+    const named = responses.flatMap((response) => response.named);
     const inquiry = { job, createdMs, testimonies, named };
     const removed = owners.filter((owner) => owner.address === undefined && !owner.departed);
-    const doubts = await Promise.all(removed.map((owner) => this.inDoubt(inquiry, owner)));
-    return this.collect(inquiry, doubts.includes(true) || this.settlements.affects(job));
+    const uncertain = await Promise.all(removed.map((owner) => this.isUncertain(inquiry, owner)));
+    return this.collectEvidence(inquiry, uncertain.includes(true) || this.settlements.affects(job));
   }
 
-  /** What sidecars have told this entry of a job while it was its own, for the job's next owner. */
+  /** What sidecars have reported to this entry about a job while it was the owner, for the job's next owner. */
   testimonyFor(job: string): { testimonies: Testimony[]; named: string[] } {
     const testimonies = this.confirmations.sidecars.flatMap((sidecar) => {
       const number = this.confirmations
         .confirmedViews(sidecar)
-        .findLast((view) => this.ownedIn(view, job));
+        .findLast((view) => this.wasOwnedIn(view, job));
       if (number === undefined) return [];
       return [create(TestimonySchema, { sidecar, viewNumber: number })];
     });
     return { testimonies, named: this.confirmations.sidecarsWithJob(job) };
   }
 
-  /** Forgets what no job that can still be submitted depends on. */
+  /** Drops what only concerns jobs that can no longer be submitted. */
   expire(wallMs: number): void {
     this.roster.expire(wallMs);
     this.settlements.expire(wallMs);
     this.confirmations.retain(new Set(this.roster.all().map(({ incarnation }) => incarnation)));
   }
 
-  /** Asks the past owners that are still members: each gives a verdict or tells what it heard. */
-  private claim(
+  /** Asks the former owners that are still members: each answer is the state itself, or what the owner knows of it. */
+  private askFormerOwners(
     job: string,
-    owners: readonly PastOwner[],
+    owners: readonly FormerOwner[],
   ): Promise<(RecoveredState | ClaimResponse)[]> {
     const view = this.options.views.current;
-    const asked = owners.filter((owner) => owner.address !== undefined);
-    return Promise.all(asked.map((owner) => this.claimOne(job, owner, view)));
+    const members = owners.filter((owner) => owner.address !== undefined);
+    return Promise.all(members.map((owner) => this.askFormerOwner(job, owner, view)));
   }
 
-  private async claimOne(
+  private async askFormerOwner(
     job: string,
-    { incarnation, address }: PastOwner,
+    { incarnation, address }: FormerOwner,
     view: View,
   ): Promise<RecoveredState | ClaimResponse> {
     const req = create(ClaimRequestSchema, { job, view, owner: incarnation });
-    const over = new AbortController();
+    const settled = new AbortController();
     const { network, timer, witnessMs } = this.options;
-    const late = timer.sleep(witnessMs, over.signal).then(() => undefined);
-    const reply = await Promise.race([network.claim(address!, req), late]);
-    over.abort();
+    const timeout = timer.sleep(witnessMs, settled.signal).then(() => undefined);
+    const reply = await Promise.race([network.claim(address!, req), timeout]);
+    settled.abort();
     if (!reply || reply.isErr()) {
       const why = reply ? reply.error.reason : `no answer within ${witnessMs} ms`;
       return { kind: 'unavailable', reason: `the job's former owner can't be asked: ${why}` };
@@ -133,59 +133,68 @@
 
   /**
    * Waits until every sidecar that may have started tasks for a removed owner
-   * has named the jobs that it knows of it. True when one is lost that did not
-   * and that the owner had not settled, for jobs that are old enough.
+   * has reported the jobs that it knows of that owner. Resolves to true for a
+   * job that the owner may have started if a sidecar was lost before it could
+   * report, unless the owner has settled that loss.
    */
-  private async inDoubt(inquiry: JobInquiry, owner: PastOwner): Promise<boolean> {
+  private async isUncertain(inquiry: JobInquiry, owner: FormerOwner): Promise<boolean> {
     const { timer, witnessMs, clockSkewMs } = this.options;
     const { job, createdMs } = inquiry;
     const deadline = timer.now() + witnessMs;
-    let open = this.openWitnesses(inquiry, owner);
-    while (this.isWorthWaiting(job, owner, open) && timer.now() < deadline) {
-      const over = new AbortController();
+    let pending = this.pendingWitnesses(inquiry, owner);
+    while (this.shouldKeepWaiting(job, owner, pending) && timer.now() < deadline) {
+      const settled = new AbortController();
       await Promise.race([
         this.confirmations.nextChange(),
-        timer.sleep(deadline - timer.now(), over.signal),
+        timer.sleep(deadline - timer.now(), settled.signal),
       ]);
-      over.abort();
-      open = this.openWitnesses(inquiry, owner);
+      settled.abort();
+      pending = this.pendingWitnesses(inquiry, owner);
     }
-    const oldEnough = createdMs <= owner.removedMs! + clockSkewMs;
-    return oldEnough && (open.length > 0 || !this.isInformed(owner));
+    const mayHaveOwned = createdMs <= owner.removedMs! + clockSkewMs;
+    return mayHaveOwned && (pending.length > 0 || !this.hasRosterCovering(owner));
   }
 
-  /** Whether an open witness may still confirm, or a roster may still come. */
-  private isWorthWaiting(job: string, owner: PastOwner, open: readonly RosterItem[]): boolean {
-    if (!this.ownedIn(this.options.views.number, job)) return false;
-    if (!this.isInformed(owner)) return true;
-    const longAgo = this.options.timer.wall() - this.options.witnessMs;
-    return open.some((item) => !item.ended || Number(item.seenMs) > longAgo);
+  /** Whether a pending witness may still confirm, or a roster may still arrive. */
+  private shouldKeepWaiting(
+    job: string,
+    owner: FormerOwner,
+    pending: readonly RosterItem[],
+  ): boolean {
+    if (!this.wasOwnedIn(this.options.views.number, job)) return false;
+    if (!this.hasRosterCovering(owner)) return true;
+    const lostBefore = this.options.timer.wall() - this.options.witnessMs;
+    return pending.some((item) => !item.ended || Number(item.seenMs) > lostBefore);
   }
 
-  private openWitnesses(inquiry: JobInquiry, owner: PastOwner): RosterItem[] {
+  private pendingWitnesses(inquiry: JobInquiry, owner: FormerOwner): RosterItem[] {
     return this.roster
       .activeSince(inquiry.createdMs - this.options.clockSkewMs)
-      .filter(({ incarnation }) => !this.hasNamed(incarnation, inquiry, owner))
+      .filter(({ incarnation }) => !this.hasReported(incarnation, inquiry, owner))
       .filter(({ incarnation }) => !this.settlements.has(incarnation, owner.incarnation));
   }
 
   /**
-   * Whether a sidecar has named what it started for a removed owner, to this
-   * entry or to a former owner, in a view in which the job was the hearer's.
-   * That stays true.
+   * Whether a sidecar has reported what it started for a removed owner, to this
+   * entry or to a former owner, in a view in which the receiver owned the job.
+   * Once true, this stays true.
    */
-  private hasNamed(sidecar: string, inquiry: JobInquiry, { removedIn }: PastOwner): boolean {
+  private hasReported(
+    sidecar: string,
+    inquiry: JobInquiry,
+    { removedInView }: FormerOwner,
+  ): boolean {
     const { job, testimonies } = inquiry;
-    const isHeard = this.confirmations
+    const hasReportedHere = this.confirmations
       .confirmedViews(sidecar)
-      .some((number) => number >= removedIn! && this.ownedIn(number, job));
+      .some((number) => number >= removedInView! && this.wasOwnedIn(number, job));
     return (
-      isHeard ||
-      testimonies.some((told) => told.sidecar === sidecar && told.viewNumber >= removedIn!)
+      hasReportedHere ||
+      testimonies.some((each) => each.sidecar === sidecar && each.viewNumber >= removedInView!)
     );
   }
 
-  private ownedIn(number: bigint, job: string): boolean {
+  private wasOwnedIn(number: bigint, job: string): boolean {
     const { views, self } = this.options;
     const { current } = views;
     const owners =
@@ -195,16 +204,19 @@
     return owners !== undefined && ownerOf(job, owners) === self;
   }
 
-  /** Whether the roster comes from a process that was a member together with the owner. */
-  private isInformed(owner: PastOwner): boolean {
+  /** Whether the roster includes that of a process that was a member together with the owner. */
+  private hasRosterCovering(owner: FormerOwner): boolean {
     return this.options.views.current.past.some((past) => {
       const members = [...past.incarnations, ...past.leaving];
       if (!members.includes(owner.incarnation)) return false;
-      return members.some((name) => name === this.options.self || this.informants.has(name));
+      return members.some((name) => name === this.options.self || this.rosterSources.has(name));
     });
   }
 
-  private async collect({ job, named }: JobInquiry, doubt: boolean): Promise<RecoveredState> {
+  private async collectEvidence(
+    { job, named }: JobInquiry,
+    doubt: boolean,
+  ): Promise<RecoveredState> {
     const sidecars = [...new Set([...this.confirmations.sidecarsWithJob(job), ...named])];
     if (sidecars.length === 0 && !doubt) return { kind: 'fresh' };
     const reports = await Promise.all(sidecars.map((name) => this.options.adopt(name, job)));
@@ -216,14 +228,14 @@
   }
 }
 
-function isVerdict(claim: RecoveredState | ClaimResponse): claim is RecoveredState {
-  return 'kind' in claim;
+function isRecoveredState(answer: RecoveredState | ClaimResponse): answer is RecoveredState {
+  return 'kind' in answer;
 }
 
-function isTold(claim: RecoveredState | ClaimResponse): claim is ClaimResponse {
-  return !isVerdict(claim);
+function isClaimResponse(answer: RecoveredState | ClaimResponse): answer is ClaimResponse {
+  return !isRecoveredState(answer);
 }
 
-function isHeld(claim: RecoveredState | ClaimResponse): claim is RecoveredState {
-  return isVerdict(claim) && claim.kind === 'held';
+function isHeldElsewhere(answer: RecoveredState | ClaimResponse): answer is RecoveredState {
+  return isRecoveredState(answer) && answer.kind === 'held';
 }
--- a/src/recovery/RecoveryOptions.ts
+++ b/src/recovery/RecoveryOptions.ts
@@ -9,9 +9,9 @@
   readonly self: string;
   readonly views: Versioned<View>;
   readonly network: Pick<Network, 'claim'>;
-  /** Has a sidecar report a job to this entry from now on; undefined when it can't be asked. */
+  /** Has a sidecar report a job's tasks to this entry from now on; resolves to undefined when it can't be asked. */
   readonly adopt: (sidecar: string, job: string) => Promise<HeldJob | undefined>;
-  /** How long a sidecar may stay away before its evidence counts as lost. */
+  /** How long a sidecar may be disconnected before its evidence counts as lost. */
   readonly witnessMs: number;
   readonly clockSkewMs: number;
 }
--- a/src/recovery/Settlements.ts
+++ b/src/recovery/Settlements.ts
@@ -1,10 +1,10 @@
 import type { Settlement } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** Which owners have dealt with the loss of which sidecars, and the jobs that this touched. */
+/** Which owners have handled the loss of which sidecars, and the jobs that were affected. */
 export default class Settlements {
-  private readonly byLoss = new Map<string, Settlement>();
+  private readonly byLossKey = new Map<string, Settlement>();
 
-  private readonly jobs = new Map<string, number>();
+  private readonly countByJob = new Map<string, number>();
 
   private constructor() {}
 
@@ -13,55 +13,55 @@
     return new Settlements();
   }
 
-  /** Takes a settlement and says whether it was new. */
+  /** Adds a settlement; returns whether it was new. */
   add(settlement: Settlement): boolean {
-    const loss = lossOf(settlement.sidecar, settlement.owner);
-    const known = this.byLoss.get(loss);
+    const key = lossKeyOf(settlement.sidecar, settlement.owner);
+    const known = this.byLossKey.get(key);
     if (known && known.atMs >= settlement.atMs) return false;
     const jobs = [...new Set([...(known?.jobs ?? []), ...settlement.jobs])];
-    this.byLoss.set(loss, { ...settlement, jobs });
+    this.byLossKey.set(key, { ...settlement, jobs });
     known?.jobs.forEach((job) => this.release(job));
-    jobs.forEach((job) => this.jobs.set(job, (this.jobs.get(job) ?? 0) + 1));
+    jobs.forEach((job) => this.countByJob.set(job, (this.countByJob.get(job) ?? 0) + 1));
     return true;
   }
 
-  /** Whether an owner has settled the loss of a sidecar. */
+  /** Whether an owner has handled the loss of a sidecar. */
   has(sidecar: string, owner: string): boolean {
-    const settlement = this.byLoss.get(lossOf(sidecar, owner));
+    const settlement = this.byLossKey.get(lossKeyOf(sidecar, owner));
     return settlement !== undefined && !settlement.revoked;
   }
 
-  /** Wall-clock time of an owner's last word on the loss of a sidecar. */
+  /** Wall-clock time of an owner's last settlement of the loss of a sidecar, in ms. */
   atMs(sidecar: string, owner: string): bigint | undefined {
-    return this.byLoss.get(lossOf(sidecar, owner))?.atMs;
+    return this.byLossKey.get(lossKeyOf(sidecar, owner))?.atMs;
   }
 
   /** Whether a job had tasks on a sidecar that was lost. */
   affects(job: string): boolean {
-    return this.jobs.has(job);
+    return this.countByJob.has(job);
   }
 
-  /** All settlements, for telling another entry. */
+  /** All settlements, to be sent to another entry. */
   all(): Settlement[] {
-    return [...this.byLoss.values()];
+    return [...this.byLossKey.values()];
   }
 
-  /** Forgets settlements made before a wall-clock time. */
+  /** Drops settlements made before a wall-clock time. */
   expire(wallMs: number): void {
-    this.byLoss.forEach((settlement, loss) => {
+    this.byLossKey.forEach((settlement, key) => {
       if (Number(settlement.atMs) >= wallMs) return;
-      this.byLoss.delete(loss);
+      this.byLossKey.delete(key);
       settlement.jobs.forEach((job) => this.release(job));
     });
   }
 
   private release(job: string): void {
-    const count = (this.jobs.get(job) ?? 0) - 1;
-    if (count > 0) this.jobs.set(job, count);
-    else this.jobs.delete(job);
+    const count = (this.countByJob.get(job) ?? 0) - 1;
+    if (count > 0) this.countByJob.set(job, count);
+    else this.countByJob.delete(job);
   }
 }
 
-function lossOf(sidecar: string, owner: string): string {
+function lossKeyOf(sidecar: string, owner: string): string {
   return `${sidecar} ${owner}`;
 }
--- a/src/recovery/SidecarRoster.ts
+++ b/src/recovery/SidecarRoster.ts
@@ -2,9 +2,9 @@
 import { type RosterItem, RosterItemSchema } from '../gen/magnoliakeel/v1/peer_pb';
 
 /**
- * Every sidecar incarnation that may have started a task lately, as seen by
- * this entry or told by others. Recovery must hear from each of them or know
- * what its loss means.
+ * Every sidecar incarnation that may have started a task recently, as seen by
+ * this entry or reported by others. Recovery needs a confirmation from each of
+ * them, or the settlement of its loss.
  */
 export default class SidecarRoster {
   private readonly items = new Map<string, RosterItem>();
@@ -16,7 +16,7 @@
     return new SidecarRoster();
   }
 
-  /** Takes items and returns those that told something new. */
+  /** Merges items and returns those that were new. */
   merge(items: readonly RosterItem[]): RosterItem[] {
     return items.filter((item) => {
       const known = this.items.get(item.incarnation);
@@ -26,7 +26,7 @@
     });
   }
 
-  /** Notes what this entry sees itself, and returns the item to tell others. */
+  /** Records a sighting by this entry, and returns the item to send to others. */
   recordSighting(sighting: Omit<RosterItem, '$typeName' | 'seenMs'>, wallMs: number): RosterItem {
     const known = this.items.get(sighting.incarnation);
     const seenMs = known && known.seenMs >= wallMs ? known.seenMs + 1n : BigInt(wallMs);
@@ -35,7 +35,7 @@
     return item;
   }
 
-  /** All items, for telling another entry. */
+  /** All items, to be sent to another entry. */
   all(): RosterItem[] {
     return [...this.items.values()];
   }
@@ -45,7 +45,7 @@
     return this.all().filter((item) => !item.ended || Number(item.seenMs) >= wallMs);
   }
 
-  /** Forgets sidecars that ended before a wall-clock time. */
+  /** Drops sidecars that ended before a wall-clock time. */
   expire(wallMs: number): void {
     this.items.forEach((item, incarnation) => {
       if (item.ended && Number(item.seenMs) < wallMs) this.items.delete(incarnation);
