--- a/test/dispatch/OutlierDetector.test.ts
+++ b/test/dispatch/OutlierDetector.test.ts
@@ -11,7 +11,7 @@
   maxShare: 0.3,
 };
 
-/** Four backend servers with four finished tasks each; those named have failed some. */
+/** Four backend servers with four finished tasks each, some of which failed at those named. */
 function afterFailuresOf(failing: string, failures: number): OutlierDetector {
   const ejections = OutlierDetector.create(() => LIMITS);
   for (let at = 0; at < 4; at += 1) {
@@ -27,7 +27,7 @@
   return [...'wxyz'].filter((name) => ejections.isEjected(name, now)).join('');
 }
 
-it('avoids a backend server that fails far more than its peers, and no others', () => {
+it('ejects a backend server that fails far more often than the others, and no others', () => {
   expect({
     allOfOne: avoided(afterFailuresOf('x', 4), 1),
     fewOfOne: avoided(afterFailuresOf('x', 1), 1),
@@ -43,7 +43,7 @@
   `);
 });
 
-it('tries a single task after the probation', () => {
+it('sends a single task as a probe after the probation', () => {
   const ejections = afterFailuresOf('x', 4);
   const afterProbation = avoided(ejections, 1001);
   ejections.taskStarted('x');
--- a/test/dispatch/borrowing.test.ts
+++ b/test/dispatch/borrowing.test.ts
@@ -3,7 +3,7 @@
 import { BorrowSchema, LendSchema } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import DispatcherCase from '../support/DispatcherCase';
 
-function hear(run: DispatcherCase, idle: Record<string, number>): void {
+function reportLoads(run: DispatcherCase, idle: Record<string, number>): void {
   Object.entries(idle).forEach(([entry, count]) =>
     run.dispatcher.entryLoads.update(entry, [{ service: 'booking', idle: count } as never]),
   );
@@ -14,10 +14,10 @@
   run.dispatcher.handleLend(entry, create(LendSchema, { service: 'booking', credits }));
 }
 
-it('asks the entry with most idle credits first, then the others, each once', async () => {
+it('asks the entry with the most idle credits first, then the others, each once', async () => {
   const run = DispatcherCase.create();
   run.openLinks('x');
-  hear(run, { b: 0, c: 4 });
+  reportLoads(run, { b: 0, c: 4 });
   run.enqueue('j', { count: 2 });
   lend(run, 'c', []);
   lend(run, 'b', []);
@@ -34,10 +34,10 @@
   `);
 });
 
-it('lends as soon as a credit is idle to an entry that asked when there was none', async () => {
+it('meets a pending borrow request as soon as a credit is idle', async () => {
   const run = DispatcherCase.create();
   run.openLinks('x');
-  hear(run, { b: 0 });
+  reportLoads(run, { b: 0 });
   const borrow = create(BorrowSchema, { service: 'booking', wanted: 3 });
   const answered = run.dispatcher.handleBorrow('b', borrow).credits.length;
   run.grant('x', 4);
@@ -52,7 +52,7 @@
   `);
 });
 
-it('forgets an ask that has been open for long', async () => {
+it('drops a borrow request that has been pending for too long', async () => {
   const run = DispatcherCase.create();
   run.openLinks('x');
   run.dispatcher.handleBorrow('b', create(BorrowSchema, { service: 'booking', wanted: 1 }));
@@ -61,7 +61,7 @@
   expect(run.takeLog()).toBe('');
 });
 
-it('keeps the credits for which the asking entry cannot be reached any more', () => {
+it('keeps the credits when the borrowing entry is unreachable', () => {
   const run = DispatcherCase.create({ sendToEntry: () => false });
   run.openLinks('x');
   run.dispatcher.handleBorrow('b', create(BorrowSchema, { service: 'booking', wanted: 1 }));
--- a/test/dispatch/policies.test.ts
+++ b/test/dispatch/policies.test.ts
@@ -15,7 +15,7 @@
     .join('');
 }
 
-it('places tasks at once by each policy that needs no credits', () => {
+it('places tasks at once with each policy that needs no credits', () => {
   expect({
     random: startsBy('random'),
     roundRobin: startsBy('roundRobin'),
@@ -33,7 +33,7 @@
   `);
 });
 
-it('does not start a refused task again when its result is not wanted any more', () => {
+it('does not start a refused task again when its result is no longer needed', () => {
   const run = DispatcherCase.create();
   run.openLinks('x');
   run.grant('x', 1);
@@ -43,10 +43,10 @@
   expect(run.takeLog()).toMatchInlineSnapshot(`"x: start j/0"`);
 });
 
-// A sidecar of a later version may refuse for a cause that this entry has no word for. The task was taken
-// off the list of running ones and then an error came ("Cannot read properties of undefined (reading
-// 'toLowerCase')"): it was neither started again nor settled, and its job hung until its time was over.
-it('starts a task again that was refused for a cause that is not known here', () => {
+// A sidecar of a later version may refuse a start for a cause that this entry does not know. The task was removed
+// from the running ones before the name of the cause was looked up, which threw "Cannot read properties of undefined
+// (reading 'toLowerCase')": it was neither restarted nor settled, and its job hung until its time-out.
+it('restarts a task that was refused for an unknown cause', () => {
   const run = DispatcherCase.create();
   run.openLinks('x');
   run.grant('x', 1);
--- a/test/dispatch/predictedWait.test.ts
+++ b/test/dispatch/predictedWait.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import DispatcherCase from '../support/DispatcherCase';
 
-async function backlog(): Promise<DispatcherCase> {
+async function startBacklog(): Promise<DispatcherCase> {
   const run = DispatcherCase.create();
   run.openLinks('x');
   run.enqueue('j', { count: 300 });
@@ -12,8 +12,8 @@
   return run;
 }
 
-it('predicts the wait of a team by the tasks before it and the pace of starts', async () => {
-  const run = await backlog();
+it('predicts the wait of a team from the tasks ahead and the average start interval', async () => {
+  const run = await startBacklog();
   const wait = (team: string) => Math.round(run.dispatcher.predictedWaitMs('booking', team));
   expect({ sameTeam: wait('web'), otherTeam: wait('other') }).toMatchInlineSnapshot(`
     {
--- a/test/dispatch/serviceLoads.test.ts
+++ b/test/dispatch/serviceLoads.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import DispatcherCase from '../support/DispatcherCase';
 
-it('tells sidecars how long tasks of their services have waited, and nothing of teams', async () => {
+it('reports to sidecars how long tasks of their services have waited, without teams', async () => {
   const run = DispatcherCase.create();
   run.enqueue('j', { count: 2 });
   run.enqueue('k', { service: 'other' });
@@ -10,7 +10,7 @@
   expect(waits).toMatchObject([{ service: 'booking', oldestWaitMs: 250, teams: [] }]);
 });
 
-it('tells other entries of the teams that have tasks running, and of no others', () => {
+it('reports only teams with running tasks to other entries', () => {
   const run = DispatcherCase.create();
   run.openLinks('x');
   run.grant('x', 2);
--- a/test/faults/MatrixCell.ts
+++ b/test/faults/MatrixCell.ts
@@ -3,26 +3,26 @@
 import checkOutcomes from './checkOutcomes';
 import type ProcessRoles from './ProcessRoles';
 
-/** What a cell's callers ask for, by the letter of its column. */
-const ASKS = {
+/** The calls of a cell, by the letter of their column in the matrix. */
+const CALLS = {
   J: { kind: 'job', tasks: [150, 400, 400, 400, 400, 400] },
   K: { kind: 'job', tasks: [300, 300, 300], once: true },
   R: { kind: 'request', tasks: [250] },
   I: { kind: 'request', tasks: [250], idempotent: true },
 } as const;
 
-type Letter = keyof typeof ASKS;
+type Letter = keyof typeof CALLS;
 
-const LETTERS = Object.keys(ASKS) as Letter[];
+const LETTERS = Object.keys(CALLS) as Letter[];
 
-/** Longer than any promise of a single answer: the wait and the connection's patience. */
-const ANSWER_MS = 12_000;
-/** Within this time after the fault's end, all callers have been told something final. */
-const SETTLED_MS = 40_000;
-/** Longer than clocks may differ, so that new ids are known to be new. */
+/** Upper bound for a single answer: longer than the caller's wait and the time-out of its connection. */
+const ANSWER_TIMEOUT_MS = 12_000;
+/** Time after the end of the fault within which all callers have a final answer. */
+const SETTLE_TIMEOUT_MS = 40_000;
+/** Longer than the maximum clock skew, so that new ids are known to be new. */
 const QUIET_MS = 6000;
 
-/** One cell of the matrix: a system, its callers and the parts that its processes play. */
+/** One cell of the fault matrix: a system, its callers and the roles of its processes. */
 export default class MatrixCell {
   readonly ids: Readonly<Record<Letter, string>>;
 
@@ -33,7 +33,7 @@
     const { owner, other } = roles;
     const rest = [...system.entries.keys()].filter((name) => name !== owner);
     const pick = (letter: Letter): string => {
-      const { kind } = ASKS[letter];
+      const { kind } = CALLS[letter];
       for (let n = 0; ; n += 1) {
         const id = `${letter}${n}`;
         if (system.owner(kind, id) === owner && system.owner(kind, id, rest) === other) return id;
@@ -42,7 +42,7 @@
     this.ids = { J: pick('J'), K: pick('K'), R: pick('R'), I: pick('I') };
   }
 
-  /** Starts a system at rest. */
+  /** Starts a system and waits until it is idle. */
   static async open(): Promise<MatrixCell> {
     const entries = { owner: 'e1', other: 'e2', forwarder: 'e3' };
     return new MatrixCell(await SimulatedSystem.start(), {
@@ -52,21 +52,21 @@
     });
   }
 
-  /** Has the callers ask, all of them or some. */
+  /** Sends all calls, or those of some letters. */
   sendCalls(letters: readonly Letter[] = LETTERS): void {
     letters.forEach((letter) => {
-      this.system.call({ ...ASKS[letter], id: this.ids[letter], via: this.roles.forwarder });
+      this.system.call({ ...CALLS[letter], id: this.ids[letter], via: this.roles.forwarder });
     });
   }
 
-  /** Holds messages of a kind to or from the owner, once `pass` of them have gone by. */
-  hold(kind: string, pass = 0): HeldMessages {
+  /** Holds back messages of a kind to or from the owner, except for the first `skip` of them. */
+  hold(kind: string, skip = 0): HeldMessages {
     let seen = 0;
     return this.system.network.hold((message) => {
       const { owner } = this.roles;
       if (message.kind !== kind || (message.from !== owner && message.to !== owner)) return false;
       seen += 1;
-      return seen > pass;
+      return seen > skip;
     });
   }
 
@@ -77,22 +77,22 @@
     ).length;
   }
 
-  /** Waits for the end of all conversations, tries all slots, and says what came of each id. */
+  /** Waits for the end of all calls, checks that all slots work, and returns the outcome of each id. */
   async conclude(): Promise<string> {
     const { system } = this;
-    const settled = await system.advanceUntil(() => system.openCalls === 0, SETTLED_MS, 50);
+    const settled = await system.advanceUntil(() => system.openCalls === 0, SETTLE_TIMEOUT_MS, 50);
     await system.timer.advance(QUIET_MS);
-    const broken = settled ? [] : ['some callers are still asking'];
+    const unfinished = settled ? [] : ['some calls are still open'];
     const probe = await this.probe();
     system.stop();
-    const found = [...broken, ...checkOutcomes(system.events, ANSWER_MS), ...probe];
-    const told = LETTERS.map(
+    const broken = [...unfinished, ...checkOutcomes(system.events, ANSWER_TIMEOUT_MS), ...probe];
+    const outcomes = LETTERS.map(
       (letter) => `${letter} ${this.outcome(letter)} ${this.startCount(letter)}`,
     );
-    return [...told, ...found.map((line) => `BROKEN ${line}`)].join(' | ');
+    return [...outcomes, ...broken.map((line) => `BROKEN ${line}`)].join(' | ');
   }
 
-  /** A job of as many tasks as there are slots must run them all at once. */
+  /** Checks that a job with as many tasks as there are slots runs them all at once. */
   private async probe(): Promise<string[]> {
     const { system } = this;
     const backends = [...system.backends.values()];
@@ -110,7 +110,7 @@
 
   private outcome(letter: Letter): string {
     const answers = this.system.events.filter(
-      (happening) => happening.kind === 'answered' && happening.id === this.ids[letter],
+      (event) => event.kind === 'answered' && event.id === this.ids[letter],
     );
     const last = answers.at(-1);
     return last?.kind === 'answered' ? last.outcome : 'none';
--- a/test/faults/ProcessRoles.ts
+++ b/test/faults/ProcessRoles.ts
@@ -1,10 +1,10 @@
-/** Which process plays which part in a cell. */
+/** The role of each process in a cell of the fault matrix. */
 export default interface ProcessRoles {
-  /** Owns the ids that are watched. */
+  /** Owns the ids under test. */
   readonly owner: string;
-  /** The entry that the callers turn to first; it forwards to the owner. */
+  /** The entry that callers connect to first; it forwards to the owner. */
   readonly forwarder: string;
-  /** Owns the ids next, without the owner. */
+  /** Owns the ids once the owner is gone. */
   readonly other: string;
   /** Runs some of the tasks. */
   readonly sidecar: string;
--- a/test/faults/borrowedCredits.test.ts
+++ b/test/faults/borrowedCredits.test.ts
@@ -1,8 +1,10 @@
 import { expect, it } from 'vitest';
 import SimulatedSystem from '../support/SimulatedSystem';
 
-/** Has every credit idle at one entry, away from the one that will need them, with its link to s1 faulty. */
-async function withBorrower(fault: (system: SimulatedSystem) => void): Promise<SimulatedSystem> {
+/** Starts a system whose credits are all idle at one entry while another needs them, which has a faulty link to s1. */
+async function startWithBorrower(
+  fault: (system: SimulatedSystem) => void,
+): Promise<SimulatedSystem> {
   const system = await SimulatedSystem.start();
   const id = 'J1';
   const borrower = system.owner('job', id);
@@ -16,11 +18,14 @@
 }
 
 it.each<[string, (system: SimulatedSystem, borrower: string) => void]>([
-  ['without a link to their sidecar', ({ network }, borrower) => network.partition(borrower, 's1')],
-  ['whose starts vanish', ({ network }, borrower) => network.blackhole(borrower, 's1')],
-])('borrowed credits %s go back to their lender', async (_name, fault) => {
+  [
+    'when there is no link to their sidecar',
+    ({ network }, borrower) => network.partition(borrower, 's1'),
+  ],
+  ['when their starts are lost', ({ network }, borrower) => network.blackhole(borrower, 's1')],
+])('returns borrowed credits to their lender %s', async (_name, fault) => {
   const borrowerOf = (system: SimulatedSystem) => system.owner('job', 'J1');
-  const system = await withBorrower((started) => fault(started, borrowerOf(started)));
+  const system = await startWithBorrower((started) => fault(started, borrowerOf(started)));
   await system.timer.advance(30_000);
   system.network.heal(borrowerOf(system), 's1');
   await system.timer.advance(10_000);
--- a/test/faults/checkOutcomes.test.ts
+++ b/test/faults/checkOutcomes.test.ts
@@ -7,11 +7,11 @@
   return { kind: 'started', at, id: 'j', index, task, on: 's1' };
 };
 
-const ask = (at: number, number = 1, idempotent = false): SimulationEvent => ({
-  kind: 'asked',
+const call = (at: number, number = 1, idempotent = false): SimulationEvent => ({
+  kind: 'called',
   at,
   id: 'j',
-  ask: number,
+  call: number,
   expected: ['j/0'],
   idempotent,
 });
@@ -25,7 +25,7 @@
   kind: 'answered',
   at,
   id: 'j',
-  ask: number,
+  call: number,
   outcome,
   outputs,
   retryAfterMs: 0,
@@ -34,36 +34,48 @@
 const done = (at: number, number = 1): SimulationEvent => answer(at, 'completed', ['j/0'], number);
 
 it.each<[string, SimulationEvent[], string]>([
-  ['a good story', [ask(0), start(1), done(2)], ''],
-  ['a retried idempotent request', [ask(0, 1, true), start(1), start(2, 0, 1), done(3)], ''],
-  ['one attempt twice', [ask(0, 1, true), start(1), start(2), done(3)], 'k/0/0 started twice'],
-  ['a task twice', [ask(0), start(1), start(2, 0, 1), done(3)], 'task 0 started twice'],
+  ['a valid history', [call(0), start(1), done(2)], ''],
+  ['a retried idempotent request', [call(0, 1, true), start(1), start(2, 0, 1), done(3)], ''],
   [
-    'not run, yet started',
-    [ask(0), start(1), answer(2, 'not-run')],
+    'one attempt started twice',
+    [call(0, 1, true), start(1), start(2), done(3)],
+    'k/0/0 started twice',
+  ],
+  ['a task started twice', [call(0), start(1), start(2, 0, 1), done(3)], 'task 0 started twice'],
+  [
+    'not run after a start',
+    [call(0), start(1), answer(2, 'not-run')],
     '"not run" at 2 after 1 starts',
   ],
   [
-    'not run, and started later',
-    [ask(0), answer(2, 'not-run'), start(3)],
+    'not run before a start',
+    [call(0), answer(2, 'not-run'), start(3)],
     'started after the last answer, "not run"',
   ],
-  ['not run, and asked again', [ask(0), answer(2, 'not-run'), ask(3, 2), start(4), done(5, 2)], ''],
-  ['the result of another', [ask(0), start(1), answer(2, 'completed', ['x/0'])], 'answer x/0'],
-  ['a part of the results', [ask(0), start(1), answer(2, 'completed')], 'answer '],
-  ['an answer out of nowhere', [ask(0), done(2)], 'completed without all starts'],
+  [
+    'not run, then started by another call',
+    [call(0), answer(2, 'not-run'), call(3, 2), start(4), done(5, 2)],
+    '',
+  ],
+  [
+    'the result of another task',
+    [call(0), start(1), answer(2, 'completed', ['x/0'])],
+    'answer x/0',
+  ],
+  ['incomplete results', [call(0), start(1), answer(2, 'completed')], 'answer '],
+  ['completed without a start', [call(0), done(2)], 'completed without all starts'],
   [
     'failed with results',
-    [ask(0), start(1), answer(2, 'failed', ['j/0'])],
+    [call(0), start(1), answer(2, 'failed', ['j/0'])],
     '"failed" with results',
   ],
   [
-    'two ends',
-    [ask(0), start(1), done(2), ask(3, 2), answer(4, 'failed', [], 2)],
+    'two different final answers',
+    [call(0), start(1), done(2), call(3, 2), answer(4, 'failed', [], 2)],
     'different answers: completed j/0 | failed ',
   ],
-  ['no answer', [ask(0), start(1)], 'no answer to ask 1'],
-  ['a late answer', [ask(0), start(1), done(200)], 'answered after 200 ms'],
-])('%s', (_name, happenings, broken) => {
-  expect(checkOutcomes(happenings, 100)).toEqual(broken ? [`j: ${broken}`] : []);
+  ['no answer', [call(0), start(1)], 'no answer to call 1'],
+  ['a late answer', [call(0), start(1), done(200)], 'answered after 200 ms'],
+])('%s', (_name, events, broken) => {
+  expect(checkOutcomes(events, 100)).toEqual(broken ? [`j: ${broken}`] : []);
 });
--- a/test/faults/formerOwner.test.ts
+++ b/test/faults/formerOwner.test.ts
@@ -2,7 +2,7 @@
 import SimulatedSystem from '../support/SimulatedSystem';
 import checkOutcomes from './checkOutcomes';
 
-it('does not take the word of a new process at a former owner’s address', async () => {
+it('ignores the answer of a new process at a former owner’s address', async () => {
   const system = await SimulatedSystem.start();
   const ids = Array.from({ length: 200 }, (_, n) => `r${n}`);
   const own = ids.filter((id) => system.owner('request', id) === 'e1').slice(0, 12);
@@ -21,7 +21,7 @@
   expect(checkOutcomes(system.events, 12_000)).toEqual([]);
 });
 
-it('does not wait for ever for a former owner that says nothing', async () => {
+it('stops waiting for a former owner that does not answer', async () => {
   const system = await SimulatedSystem.start();
   system.network.hold(({ kind }) => kind === 'claim');
   const ids = Array.from({ length: 20 }, (_, n) => `r${n}`);
--- a/test/faults/gracefulShutdown.test.ts
+++ b/test/faults/gracefulShutdown.test.ts
@@ -5,7 +5,7 @@
 
 afterEach(() => systems.splice(0).forEach((system) => system.stop()));
 
-async function started(): Promise<SimulatedSystem> {
+async function startSystem(): Promise<SimulatedSystem> {
   const system = await SimulatedSystem.start();
   systems.push(system);
   return system;
@@ -21,25 +21,23 @@
 }
 
 async function outcomesOf(system: SimulatedSystem, ids: readonly string[]): Promise<string[]> {
-  const { events: happenings } = system;
-  const from = happenings.length;
+  const { events } = system;
+  const from = events.length;
   ids.forEach((id) => system.call({ id, kind: 'job', tasks: [50, 50], via: 'e1', once: true }));
   await system.advanceUntil(() => system.openCalls === 0, 20_000, 10);
-  return happenings
-    .slice(from)
-    .flatMap((event) => (event.kind === 'answered' ? [event.outcome] : []));
+  return events.slice(from).flatMap((event) => (event.kind === 'answered' ? [event.outcome] : []));
 }
 
 const ids = Array.from({ length: 12 }, (_, n) => `job-${n}`);
 
-test('after entries and then sidecars were replaced in good order, nothing new is in doubt', async () => {
-  const system = await started();
+test('new jobs complete after all entries and then all sidecars were replaced gracefully', async () => {
+  const system = await startSystem();
   await replace(system, 'e1', 'e2', 'e3', 's1', 's2', 's3');
   expect([...new Set(await outcomesOf(system, ids))]).toEqual(['completed']);
 });
 
-test('the answer to a job outlives the orderly end of its owner and of its sidecars', async () => {
-  const system = await started();
+test('the answer to a job survives the graceful shutdown of its owner and its sidecars', async () => {
+  const system = await startSystem();
   await outcomesOf(system, ids);
   await replace(system, 'e1', 'e2', 's1', 's2', 's3');
   const again = await outcomesOf(system, ids);
--- a/test/faults/interleavings.test.ts
+++ b/test/faults/interleavings.test.ts
@@ -7,12 +7,12 @@
 const numRuns = Number(process.env.INTERLEAVE_RUNS ?? 40);
 
 it(
-  `keeps the promises in ${numRuns} random interleavings of seed ${seed}`,
+  `keeps the guarantees in ${numRuns} random interleavings of seed ${seed}`,
   { timeout: 0 },
   async () => {
-    const holds = fc.asyncProperty(randomTraces, async (trace) => {
+    const property = fc.asyncProperty(randomTraces, async (trace) => {
       expect((await replayTrace(trace)).broken).toEqual([]);
     });
-    await fc.assert(holds, { seed, numRuns, endOnFailure: numRuns > 40 });
+    await fc.assert(property, { seed, numRuns, endOnFailure: numRuns > 40 });
   },
 );
--- a/test/faults/lostOwner.test.ts
+++ b/test/faults/lostOwner.test.ts
@@ -5,13 +5,13 @@
 
 afterEach(() => systems.splice(0).forEach((system) => system.stop()));
 
-async function started(): Promise<SimulatedSystem> {
+async function startSystem(): Promise<SimulatedSystem> {
   const system = await SimulatedSystem.start();
   systems.push(system);
   return system;
 }
 
-/** An id that e1 owns, and `next` once e1 is gone. */
+/** An id that e1 owns, and that `next` owns once e1 is gone. */
 function idOf(system: SimulatedSystem, next: 'e2' | 'e3', from = 0): string {
   for (let n = from; ; n += 1) {
     const id = `job-${n}`;
@@ -21,7 +21,7 @@
   }
 }
 
-function story(system: SimulatedSystem, id: string): string[] {
+function historyOf(system: SimulatedSystem, id: string): string[] {
   return system.events.flatMap((event) => {
     if (event.id !== id) return [];
     if (event.kind === 'started') return ['started'];
@@ -29,8 +29,8 @@
   });
 }
 
-test('a lost owner’s job that a leaving entry would own is continued by the next owner', async () => {
-  const system = await started();
+test('a lost owner’s job passes over a leaving entry to the next owner, which continues it', async () => {
+  const system = await startSystem();
   const id = idOf(system, 'e2');
   const kept = Array.from({ length: 50 }, (_, n) => `kept-${n}`).find(
     (name) => system.owner('job', name) === 'e2',
@@ -49,11 +49,11 @@
   );
   system.call({ id, kind: 'job', tasks: [50], via: 'e3', once: true });
   await system.timer.advance(2000);
-  expect(story(system, id)).toEqual(['started', 'completed', 'completed']);
+  expect(historyOf(system, id)).toEqual(['started', 'completed', 'completed']);
 });
 
-test('a sidecar that is lost after it told what a lost owner had started there leaves no doubt', async () => {
-  const system = await started();
+test('a job completes if a sidecar is lost after it has reported what a lost owner started there', async () => {
+  const system = await startSystem();
   const id = idOf(system, 'e2');
   system.kill('e1');
   await system.advanceUntil(
@@ -66,11 +66,11 @@
   await system.timer.advance(5000);
   system.call({ id, kind: 'job', tasks: [50], via: 'e3', once: true });
   await system.timer.advance(6000);
-  expect(story(system, id)).toEqual(['started', 'completed']);
+  expect(historyOf(system, id)).toEqual(['started', 'completed']);
 });
 
-test('an entry that comes later learns from a former owner what lost sidecars had told', async () => {
-  const system = await started();
+test('an entry that joins later gets the reports of lost sidecars from a former owner', async () => {
+  const system = await startSystem();
   system.kill('e1');
   const isGone = () => !system.view('e2').members.some(({ instance }) => instance === 'e1');
   await system.advanceUntil(isGone, 9000, 10);
@@ -84,6 +84,6 @@
   );
   ids.forEach((id) => system.call({ id, kind: 'job', tasks: [50], via: 'e3', once: true }));
   await system.advanceUntil(() => system.openCalls === 0, 20_000, 10);
-  const outcomes = ids.map((id) => story(system, id).join(' '));
+  const outcomes = ids.map((id) => historyOf(system, id).join(' '));
   expect([...new Set(outcomes)]).toEqual(['started completed']);
 });
--- a/test/faults/matrix.test.ts
+++ b/test/faults/matrix.test.ts
@@ -13,6 +13,6 @@
   });
 });
 
-it('has the outcomes of the table', async () => {
+it('has the recorded outcomes', async () => {
   await expect(`${rows.join('\n')}\n`).toMatchFileSnapshot('matrix.txt');
 });
--- a/test/faults/randomTraces.ts
+++ b/test/faults/randomTraces.ts
@@ -5,7 +5,7 @@
 const sidecar = fc.constantFrom('s1', 's2', 's3');
 const at = fc.integer({ min: 0, max: 9000 });
 
-const ask = fc.record({
+const call = fc.record({
   at,
   ask: fc.record({
     id: fc.integer({ min: 0, max: 7 }).map((n) => `id${n}`),
@@ -27,22 +27,22 @@
   }),
 );
 
-/** Random traces: ids asked for several times, and up to four faults that may overlap. */
+/** Random traces: ids submitted several times, and up to four faults that may overlap. */
 const randomTraces: fc.Arbitrary<Trace> = fc
   .tuple(
-    fc.array(ask, { minLength: 1, maxLength: 12 }),
+    fc.array(call, { minLength: 1, maxLength: 12 }),
     fc.array(fault, { minLength: 1, maxLength: 4 }),
   )
-  .map(([asks, faults]) => ({
+  .map(([calls, faults]) => ({
     events: [
-      ...asks.map((event) => ({ ...event, ask: { ...event.ask, ...bodyOf(event.ask.id) } })),
+      ...calls.map((event) => ({ ...event, ask: { ...event.ask, ...bodyOf(event.ask.id) } })),
       ...faults,
     ],
   }));
 
 export default randomTraces;
 
-/** An id has the same body and kind in all its submissions. */
+/** The body and kind of an id, the same in all its submissions. */
 function bodyOf(id: string) {
   const number = Number(id.slice(2));
   if (number % 3 === 0) return { kind: 'request' as const, tasks: [300], idempotent: number > 3 };
--- a/test/faults/steps.ts
+++ b/test/faults/steps.ts
@@ -1,21 +1,21 @@
 import type MatrixCell from './MatrixCell';
 
-/** Brings a cell to a step. Gives what to do shortly after the fault, or why the step was not met. */
+/** Brings a cell to a step. Returns an action to run shortly after the fault, or why the step was not reached. */
 type Step = (cell: MatrixCell) => Promise<(() => void | Promise<void>) | string>;
 
-const NOTHING = () => undefined;
+const noop = () => undefined;
 
-/** Asks, and stops the time when messages of a kind are held. */
-function holding(kind: string, pass = 0): Step {
+/** Sends the calls and waits until a message of a kind is held back; the first `skip` of them pass. */
+function holdMessages(kind: string, skip = 0): Step {
   return async (cell) => {
-    const held = cell.hold(kind, pass);
+    const held = cell.hold(kind, skip);
     cell.sendCalls();
     const met = await cell.system.advanceUntil(() => held.size > 0, 2000);
     return met ? () => held.release() : `no ${kind} was sent`;
   };
 }
 
-async function run(cell: MatrixCell): Promise<void> {
+async function startTasks(cell: MatrixCell): Promise<void> {
   cell.sendCalls();
   await cell.system.advanceUntil(() => cell.startCount('J') > 0, 2000);
   await cell.system.timer.advance(100);
@@ -31,21 +31,21 @@
     await system.timer.advance(50);
     cell.sendCalls();
     await system.timer.advance(50);
-    return cell.startCount('J') === 0 ? NOTHING : 'a task started although all slots were taken';
+    return cell.startCount('J') === 0 ? noop : 'a task started although all slots were taken';
   },
-  'start sent': holding('start'),
+  'start sent': holdMessages('start'),
   'start received': async (cell) => {
     cell.sendCalls();
     const met = await cell.system.advanceUntil(() => cell.startCount('J') > 0, 2000);
-    return met ? NOTHING : 'no start was received';
+    return met ? noop : 'no start was received';
   },
   running: async (cell) => {
-    await run(cell);
-    return NOTHING;
+    await startTasks(cell);
+    return noop;
   },
-  'done unreported': holding('done'),
-  reported: holding('done', 3),
-  answering: holding('forward.answer'),
+  'done unreported': holdMessages('done'),
+  reported: holdMessages('done', 3),
+  answering: holdMessages('forward.answer'),
   'answered then resubmitted': async (cell) => {
     cell.sendCalls();
     const met = await cell.system.advanceUntil(() => cell.system.openCalls === 0, 5000);
@@ -53,7 +53,7 @@
   },
   fencing: async (cell) => {
     const { system, roles } = cell;
-    await run(cell);
+    await startTasks(cell);
     const held = system.network.hold(({ kind }) => kind === 'fenced');
     system.kill(roles.owner);
     const met = await system.advanceUntil(() => held.size > 0, 12_000, 5);
@@ -67,20 +67,20 @@
       : 'no sidecar was to confirm a view';
   },
   'owner draining': async (cell) => {
-    await run(cell);
+    await startTasks(cell);
     cell.system.shutDown(cell.roles.owner);
     await cell.system.timer.advance(20);
-    return NOTHING;
+    return noop;
   },
   'sidecar draining': async (cell) => {
-    await run(cell);
+    await startTasks(cell);
     cell.system.shutDown(cell.roles.sidecar);
     await cell.system.timer.advance(20);
-    return NOTHING;
+    return noop;
   },
   'applying configuration': async (cell) => {
     const { system } = cell;
-    await run(cell);
+    await startTasks(cell);
     const kinds = ['configuration', 'inForce'];
     const held = system.network.hold(({ kind }) => kinds.includes(kind));
     await system.configure();
--- a/test/faults/traces.test.ts
+++ b/test/faults/traces.test.ts
@@ -6,7 +6,7 @@
 const folder = new URL('../traces/', import.meta.url);
 const names = readdirSync(folder).sort();
 
-it.each(names)('replays %s to its stated outcomes', async (name) => {
+it.each(names)('replays %s with the expected outcomes', async (name) => {
   const trace = JSON.parse(readFileSync(new URL(name, folder), 'utf8')) as Trace;
   const { outcomes, broken } = await replayTrace(trace);
   expect({ outcomes, broken }).toEqual({ outcomes: trace.outcomes, broken: [] });
--- a/test/support/DispatcherCase.ts
+++ b/test/support/DispatcherCase.ts
@@ -19,7 +19,7 @@
   readonly count?: number;
 }
 
-/** A dispatcher between sidecars and other entries that a test plays. */
+/** A dispatcher with simulated sidecars and other entries. */
 export default class DispatcherCase {
   readonly timer = ManualTimer.create();
 
@@ -27,16 +27,16 @@
 
   private readonly peers = new Map<string, SidecarPeer>();
 
-  private lines: string[] = [];
+  private log: string[] = [];
 
-  private generations = 0;
+  private lastGeneration = 0;
 
   private constructor(options: Partial<DispatcherOptions>) {
     this.dispatcher = Dispatcher.create({
       ...{ timer: this.timer, random: Random.fromSeed(1), policy: 'credits', owner: 'a' },
       ...{ viewNumber: () => 1n, weightOf: () => 1, maxRunningOf: () => undefined },
       takeRetry: () => true,
-      sendToEntry: (entry, message) => this.note(entry, message),
+      sendToEntry: (entry, message) => this.record(entry, message),
       ...options,
     });
   }
@@ -45,11 +45,11 @@
     return new DispatcherCase(options);
   }
 
-  /** Opens the links of sidecars, a letter each. */
+  /** Opens the links of sidecars, each named by one letter. */
   openLinks(names: string): void {
     [...names].forEach((name) => {
       const hello = { instance: name, incarnation: name, zone: 'z1', services: ['booking'] };
-      const send = (message: PeerMessage) => this.note(name, message);
+      const send = (message: PeerMessage) => this.record(name, message);
       const link = { peer: create(HelloSchema, hello), send } as unknown as Link;
       const peer = SidecarPeer.fromLink(link);
       peer.link = link;
@@ -62,10 +62,10 @@
     return this.peers.get(name)!;
   }
 
-  /** Has a sidecar grant credits for its first slots. */
+  /** Has a sidecar grant credits for its first `count` slots. */
   grant(name: string, count: number): void {
-    this.generations += 1;
-    const generation = this.generations;
+    this.lastGeneration += 1;
+    const generation = this.lastGeneration;
     const credits = Array.from({ length: count }, (_, slot) => ({ slot, generation }));
     const grant = create(GrantSchema, { service: 'booking', credits });
     this.dispatcher.handleGrant(this.peer(name), grant);
@@ -79,17 +79,17 @@
       ...{ queuedAt: this.timer.now(), attempt: 0, isWanted: () => true },
       ...{ onStarting: () => undefined, onNotStarted: () => undefined },
       onSettled: ({ status }: { status: TaskStatus }) =>
-        this.lines.push(`${job}/${index} ${TaskStatus[status]}`),
+        this.log.push(`${job}/${index} ${TaskStatus[status]}`),
       ...init,
     }));
     tasks.forEach((task) => this.dispatcher.enqueue(task));
     return tasks;
   }
 
-  /** Has a sidecar report a task as done; the credit of its slot comes along. */
+  /** Has a sidecar report a task as done, with the credit of its first slot. */
   reportDone(name: string, job: string, index = 0, status = TaskStatus.COMPLETED, runMs = 1): void {
-    this.generations += 1;
-    const credit = { slot: 0, generation: this.generations };
+    this.lastGeneration += 1;
+    const credit = { slot: 0, generation: this.lastGeneration };
     const done = create(DoneSchema, { task: { job, index }, status, credit, runMs });
     this.dispatcher.handleDone(this.peer(name), done);
   }
@@ -98,15 +98,15 @@
     this.dispatcher.handleRefuse(this.peer(name), create(RefuseSchema, { task: { job, index } }));
   }
 
-  /** What was sent and settled since the last call, a line each. */
+  /** Returns what was sent and settled since the last call, a line each. */
   takeLog(): string {
-    const text = this.lines.join('\n');
-    this.lines = [];
+    const text = this.log.join('\n');
+    this.log = [];
     return text;
   }
 
-  private note(to: string, message: PeerMessage): boolean {
-    this.lines.push(`${to}: ${describe(message)}`);
+  private record(to: string, message: PeerMessage): boolean {
+    this.log.push(`${to}: ${describe(message)}`);
     return true;
   }
 }
--- a/test/support/SimulatedCall.ts
+++ b/test/support/SimulatedCall.ts
@@ -1,13 +1,13 @@
-/** What a simulated caller asks for, and how it goes on. */
+/** A submission of a simulated caller, and whether it is repeated. */
 export default interface SimulatedCall {
   readonly id: string;
   readonly kind: 'job' | 'request';
-  /** How long each task runs, in milliseconds. */
+  /** Run time of each task, in ms. */
   readonly tasks: readonly number[];
-  /** The entry it turns to first. */
+  /** The entry that it is sent to first. */
   readonly via: string;
   readonly idempotent?: boolean;
-  /** One submission only; else it asks again until it is told something final. */
+  /** Whether to submit only once; otherwise it is resubmitted until there is a final answer. */
   readonly once?: boolean;
   readonly action?: 'submit' | 'cancel';
 }
--- a/test/support/SimulatedSystem.ts
+++ b/test/support/SimulatedSystem.ts
@@ -25,13 +25,13 @@
 import SimulatedBackend from './SimulatedBackend';
 import SimulatedProcess from './SimulatedProcess';
 
-/** How long a caller waits for one answer, and for its connection beyond that. */
-const WAIT_MS = 5000;
-const PATIENCE_MS = 12_000;
-const AGAIN_MS = 300;
+/** How long a caller asks an entry to wait with its answer, and when it drops its connection. */
+const ANSWER_WAIT_MS = 5000;
+const CONNECTION_TIMEOUT_MS = 12_000;
+const RETRY_MS = 300;
 const RENEW_MS = 1000;
-const SKEW_MS = 5000;
-const FINAL: ReadonlySet<string> = new Set([
+const CLOCK_SKEW_MS = 5000;
+const FINAL_OUTCOMES: ReadonlySet<string> = new Set([
   'completed',
   'failed',
   'conflict',
@@ -39,22 +39,22 @@
   'cancelled',
 ]);
 
-interface EntryRun {
+interface EntryProcess {
   readonly process: SimulatedProcess;
   readonly incarnation: string;
   readonly entry: Entry;
   readonly stop: AbortController;
 }
 
-interface SidecarRun {
+interface SidecarProcess {
   readonly process: SimulatedProcess;
   readonly sidecar: Sidecar;
   readonly stop: AbortController;
 }
 
 /**
- * A whole system of the real code in one process, without a wall clock: entries,
- * sidecars with their backend servers, the platform's stand-in, and callers.
+ * A whole system of the real code in one process, on simulated time: entries,
+ * sidecars with their backend servers, a stand-in for the platform, and callers.
  */
 export default class SimulatedSystem {
   readonly timer = ManualTimer.create(1);
@@ -67,24 +67,24 @@
 
   readonly logs: string[] = [];
 
-  readonly entries = new Map<string, EntryRun>();
+  readonly entries = new Map<string, EntryProcess>();
 
-  readonly sidecars = new Map<string, SidecarRun>();
+  readonly sidecars = new Map<string, SidecarProcess>();
 
   readonly backends = new Map<string, SimulatedBackend>();
 
-  /** Conversations of callers that are not over. */
+  /** Number of calls without a final answer. */
   openCalls = 0;
 
-  private runs = 0;
+  private processCount = 0;
 
-  private asks = 0;
+  private callCount = 0;
 
   private manifestVersion = 0;
 
   private constructor(readonly slots: number) {}
 
-  /** Starts a system and lets it come to rest. */
+  /** Starts a system and waits until it is idle. */
   static async start(entries = 3, sidecars = 3, slots = 4): Promise<SimulatedSystem> {
     const system = new SimulatedSystem(slots);
     await system.configure();
@@ -94,10 +94,10 @@
     return system;
   }
 
-  /** Puts the next version of the manifest into the store, with differences to the usual one. */
-  async configure(differing: object = {}, retired?: object): Promise<void> {
+  /** Puts the next version of the manifest into the store, with overrides of the default one. */
+  async configure(overrides: object = {}, retired?: object): Promise<void> {
     this.manifestVersion += 1;
-    const manifest = { ...MANIFEST, ...differing };
+    const manifest = { ...MANIFEST, ...overrides };
     const value = { version: this.manifestVersion, manifest, retired };
     await this.engine.put(storeKeys.manifest, JSON.stringify(value));
   }
@@ -105,15 +105,15 @@
   /** Starts an entry's process, under a new incarnation. */
   async startEntry(instance: string): Promise<void> {
     const process = SimulatedProcess.start(this.timer);
-    this.runs += 1;
-    const incarnation = `${instance}-${this.runs}`;
-    const note = (line: string) => this.logs.push(`${this.timer.now()} ${incarnation}: ${line}`);
+    this.processCount += 1;
+    const incarnation = `${instance}-${this.processCount}`;
+    const log = (line: string) => this.logs.push(`${this.timer.now()} ${incarnation}: ${line}`);
     const entry = Entry.create({
-      ...{ incarnation, timer: process, random: Random.fromSeed(this.runs) },
+      ...{ incarnation, timer: process, random: Random.fromSeed(this.processCount) },
       settings: settingsOf(instance),
       network: this.network.endpoint(instance),
-      store: gated(this.engine.client(instance), process),
-      log: { info: note, warn: note } as never,
+      store: pausable(this.engine.client(instance), process),
+      log: { info: log, warn: log } as never,
     });
     const listening = await entry.listenToPeers();
     if (listening.isErr()) throw new Error(listening.error);
@@ -121,59 +121,59 @@
     const run = { process, incarnation, entry, stop };
     this.entries.set(instance, run);
     entry.run(stop.signal).then((ended) => {
-      note(`ended ${ended}`);
-      this.ended(instance, run);
-    }, note);
+      log(`ended ${ended}`);
+      this.handleProcessEnd(instance, run);
+    }, log);
   }
 
   /** Starts a sidecar's process; its backend server announces itself to it. */
   startSidecar(instance: string): void {
     const process = SimulatedProcess.start(this.timer);
-    this.runs += 1;
+    this.processCount += 1;
     const backend =
       this.backends.get(instance) ?? SimulatedBackend.start(instance, this.timer, this.events);
     this.backends.set(instance, backend);
-    const incarnation = `${instance}-${this.runs}`;
+    const incarnation = `${instance}-${this.processCount}`;
     const sidecar = Sidecar.create({
       ...{ cluster: 'test', instance, incarnation, zone: 'z1', links: 16, timer: process },
-      random: Random.fromSeed(this.runs),
+      random: Random.fromSeed(this.processCount),
       network: this.network.endpoint(instance),
       client: backend.clientOf(process),
       counters: SidecarCounters.create(),
       entries: [1, 2, 3].map((n) => addressOf(`e${n}`)),
       heartbeat: HEARTBEAT,
-      ...{ ledgerBytes: 10_000_000, skewMs: SKEW_MS, renewMs: RENEW_MS, drainMs: 30_000 },
+      ...{ ledgerBytes: 10_000_000, skewMs: CLOCK_SKEW_MS, renewMs: RENEW_MS, drainMs: 30_000 },
       log: (line) => this.logs.push(`${this.timer.now()} ${incarnation}: ${line}`),
     });
     const stop = new AbortController();
     const run = { process, sidecar, stop };
     this.sidecars.set(instance, run);
     sidecar.run(stop.signal).then(
-      () => this.ended(instance, run),
+      () => this.handleProcessEnd(instance, run),
       (cause) => this.logs.push(String(cause)),
     );
-    this.keepAnnounced(instance, run, backend);
+    this.announcePeriodically(instance, run, backend);
   }
 
-  /** Stops what runs under the name at once. Backend servers are named like their sidecar. */
+  /** Kills the process of an instance. A backend server has the name of its sidecar. */
   kill(instance: string): void {
     this.processOf(instance).kill();
     this.network.kill(instance);
   }
 
-  /** Starts what was killed or has ended; nothing when it runs. */
+  /** Restarts the process of an instance unless it is running. */
   async restart(instance: string): Promise<void> {
     if (this.processOf(instance).isAlive) return;
     if (this.entries.has(instance)) await this.startEntry(instance);
     else this.startSidecar(instance);
   }
 
-  /** Whether a process runs under the name. */
+  /** Whether the process of an instance is running. */
   isRunning(instance: string): boolean {
     return this.processOf(instance).isAlive;
   }
 
-  /** Stops a process as a stop signal does. */
+  /** Pauses a process, as SIGSTOP does. */
   pause(instance: string): void {
     this.processOf(instance).pause();
     this.network.pause(instance);
@@ -186,19 +186,19 @@
     this.network.resume(instance);
   }
 
-  /** Tells a process to leave. */
+  /** Starts the graceful shutdown of a process. */
   shutDown(instance: string): void {
     (this.entries.get(instance) ?? this.sidecars.get(instance))!.stop.abort();
   }
 
-  /** Moves the time until the condition holds, and says whether it did within the limit. */
+  /** Advances the time until the condition holds; returns whether it did within the limit. */
   async advanceUntil(condition: () => boolean, limitMs: number, stepMs = 1): Promise<boolean> {
     const end = this.timer.now() + limitMs;
     while (!condition() && this.timer.now() < end) await this.timer.advance(stepMs);
     return condition();
   }
 
-  /** The entry that owns an id among these entries, by instance. */
+  /** The instance that owns an id if `among` are the entries. */
   owner(kind: string, id: string, among = [...this.entries.keys()]): string {
     const incarnations = among.map((name) => this.entries.get(name)!.incarnation);
     const owner = ownerOf(jobKey('booking', kind, id), incarnations);
@@ -210,22 +210,23 @@
     return this.entries.get(instance)!.entry.views.current;
   }
 
-  /** Has a caller ask, in the background, until it is told something final. */
-  async call(ask: SimulatedCall): Promise<void> {
+  /** Has a caller submit in the background until it has a final answer. */
+  async call(call: SimulatedCall): Promise<void> {
     this.openCalls += 1;
     const names = [...this.entries.keys()];
-    const first = names.indexOf(ask.via);
-    let finals = 0;
+    const first = names.indexOf(call.via);
+    let finalUnknowns = 0;
     for (let n = 0; ; n += 1) {
-      const answer = await this.askOnce(ask, names[(first + n) % names.length]!);
-      finals = answer.outcome === 'unknown' && answer.retryAfterMs === 0 ? finals + 1 : 0;
-      if (ask.once || FINAL.has(answer.outcome) || finals > 1) break;
-      await this.timer.sleep(answer.retryAfterMs || AGAIN_MS);
+      const answer = await this.callOnce(call, names[(first + n) % names.length]!);
+      finalUnknowns =
+        answer.outcome === 'unknown' && answer.retryAfterMs === 0 ? finalUnknowns + 1 : 0;
+      if (call.once || FINAL_OUTCOMES.has(answer.outcome) || finalUnknowns > 1) break;
+      await this.timer.sleep(answer.retryAfterMs || RETRY_MS);
     }
     this.openCalls -= 1;
   }
 
-  /** The configuration version in force at each process, as `e1 2, s1 2`. */
+  /** The configuration version in effect at each process, as `e1 2, s1 2`. */
   versions(): string {
     const entries = [...this.entries].map(
       ([name, { entry }]) => `${name} ${entry.configurations.number}`,
@@ -236,40 +237,40 @@
     return [...entries, ...sidecars].join(', ');
   }
 
-  /** Ends whatever runs. */
+  /** Kills all processes. */
   stop(): void {
     [...this.entries.values(), ...this.sidecars.values()].forEach(({ process }) => process.kill());
   }
 
-  private async askOnce(
-    ask: SimulatedCall,
+  private async callOnce(
+    call: SimulatedCall,
     via: string,
   ): Promise<Extract<SimulationEvent, { kind: 'answered' }>> {
-    const { timer, events: happenings } = this;
-    this.asks += 1;
-    const { id, idempotent = false } = ask;
-    const expected = ask.tasks.map((_, index) => `${id}/${index}`);
-    const common = { id, ask: this.asks };
-    happenings.push({ kind: 'asked', at: timer.now(), ...common, expected, idempotent });
+    const { timer, events } = this;
+    this.callCount += 1;
+    const { id, idempotent = false } = call;
+    const expected = call.tasks.map((_, index) => `${id}/${index}`);
+    const common = { id, call: this.callCount };
+    events.push({ kind: 'called', at: timer.now(), ...common, expected, idempotent });
     const gone = new AbortController();
     const answer = await Promise.race([
-      this.answerOf(ask, this.entries.get(via)!, gone.signal),
-      timer.sleep(PATIENCE_MS).then(() => LOST),
+      this.answerFrom(call, this.entries.get(via)!, gone.signal),
+      timer.sleep(CONNECTION_TIMEOUT_MS).then(() => LOST),
     ]);
     gone.abort();
     const answered = { kind: 'answered', at: timer.now(), ...common, ...answer } as const;
-    happenings.push(answered);
+    events.push(answered);
     return answered;
   }
 
-  private async answerOf(ask: SimulatedCall, run: EntryRun, gone: AbortSignal) {
+  private async answerFrom(call: SimulatedCall, run: EntryProcess, gone: AbortSignal) {
     const { process, entry, stop } = run;
     if (!process.isAlive || stop.signal.aborted || !entry.isReady) return LOST;
-    const submission = this.submissionOf(ask);
-    const asked = process
+    const submission = this.submissionOf(call);
+    const submitted = process
       .deliver(Promise.resolve())
       .then(() => process.deliver(entry.submit({ submission, keyed: true }, gone)));
-    const answer = await Promise.race([asked, process.death]);
+    const answer = await Promise.race([submitted, process.death]);
     if (!answer) return LOST;
     const outputs = answer.results.map(({ output }) => Buffer.from(output).toString());
     const outcome = Outcome[answer.outcome].toLowerCase().replace('_', '-');
@@ -281,32 +282,36 @@
     return create(SubmissionSchema, {
       action: action === 'cancel' ? Action.CANCEL : Action.SUBMIT,
       ...{ service: 'booking', kind, id, team: 'default', idempotent, inputs },
-      createdMs: this.createdOf(id),
+      createdMs: this.createdMsOf(id),
       digest: digestOf(inputs),
-      waitMs: WAIT_MS,
+      waitMs: ANSWER_WAIT_MS,
     });
   }
 
-  /** Every submission of an id carries the time of its first one. */
-  private createdOf(id: string): bigint {
-    const first = this.events.find((event) => event.kind === 'asked' && event.id === id);
+  /** The creation time of an id: every submission carries the time of the first one. */
+  private createdMsOf(id: string): bigint {
+    const first = this.events.find((event) => event.kind === 'called' && event.id === id);
     return BigInt(this.timer.wall() - Math.floor(this.timer.now()) + Math.floor(first!.at));
   }
 
-  private keepAnnounced(instance: string, run: SidecarRun, backend: SimulatedBackend): void {
+  private announcePeriodically(
+    instance: string,
+    run: SidecarProcess,
+    backend: SimulatedBackend,
+  ): void {
     const address = `127.0.0.1:${instance.slice(1)}`;
     const announcement = { service: 'booking', address, slots: this.slots, connections: 64 };
-    const beat = this.timer.every(RENEW_MS, () => announce());
+    const announcements = this.timer.every(RENEW_MS, () => announce());
     const announce = async () => {
-      if (!run.process.isAlive) beat.cancel();
+      if (!run.process.isAlive) announcements.cancel();
       await run.process.deliver(Promise.resolve());
       if (backend.isAlive) run.sidecar.announce(announcement);
     };
     announce().catch(never);
   }
 
-  /** A process that ended by itself is started anew, as the platform does. */
-  private ended(instance: string, run: EntryRun | SidecarRun): void {
+  /** Restarts a process that ended by itself, as the platform does. */
+  private handleProcessEnd(instance: string, run: EntryProcess | SidecarProcess): void {
     const current = this.entries.get(instance) ?? this.sidecars.get(instance);
     if (current !== run || !run.process.isAlive) return;
     this.kill(instance);
@@ -358,7 +363,7 @@
       },
     },
     heartbeat: HEARTBEAT,
-    recovery: { witnessMs: 3000, clockSkewMs: SKEW_MS },
+    recovery: { witnessMs: 3000, clockSkewMs: CLOCK_SKEW_MS },
     dispatch: { policy: 'credits' as const },
     log: { level: 'info' as const },
     traces: { sample: 0, output: '' as const, otlp: '' },
@@ -372,8 +377,8 @@
   return `10.0.0.${instance.slice(1)}:8081`;
 }
 
-/** The store as a process sees it: answers wait while the process is paused. */
-function gated(store: Store, process: SimulatedProcess): Store {
+/** The store as a process sees it: answers are delayed while the process is paused. */
+function pausable(store: Store, process: SimulatedProcess): Store {
   return new Proxy(store, {
     get(target, name) {
       const method = Reflect.get(target, name) as unknown;
--- a/test/support/SimulationEvent.ts
+++ b/test/support/SimulationEvent.ts
@@ -1,21 +1,21 @@
-/** What callers and backend servers saw, in the order of time; all that a check of promises may use. */
+/** Something that a caller or a backend server observed; checks of the guarantees use nothing else. */
 type SimulationEvent =
   | {
       readonly kind: 'started';
       readonly at: number;
       readonly id: string;
       readonly index: number;
-      /** As the backend server was told: a name for each attempt. */
+      /** The task's key as sent to the backend server, different for each attempt. */
       readonly task: string;
       readonly on: string;
     }
   | {
-      readonly kind: 'asked';
+      readonly kind: 'called';
       readonly at: number;
       readonly id: string;
-      /** Tells the asks of all callers apart. */
-      readonly ask: number;
-      /** Outputs of a complete answer. */
+      /** Unique number of the call. */
+      readonly call: number;
+      /** The outputs of a complete answer. */
       readonly expected: readonly string[];
       readonly idempotent: boolean;
     }
@@ -23,8 +23,8 @@
       readonly kind: 'answered';
       readonly at: number;
       readonly id: string;
-      readonly ask: number;
-      /** An outcome of the callers' interface; `lost` when the connection ended without an answer. */
+      readonly call: number;
+      /** An outcome of the callers' API; `lost` when the connection ended without an answer. */
       readonly outcome: string;
       readonly outputs: readonly string[];
       readonly retryAfterMs: number;
