--- a/src/claims/BatchClaims.ts
+++ b/src/claims/BatchClaims.ts
@@ -36,11 +36,11 @@
 type AcquireResult = 'held' | BatchFollowed;
 
 /**
- * Ensures that only one entry at a time runs a batch, no matter when and to which entry its caller resubmits it. Before
- * an entry runs a batch, it requests a claim from three registrars and needs the consent of two, so any two claims share
- * a registrar. When another entry holds the batch, this one waits for its answer. When the holder has ended its claim,
- * or has been gone for so long that its runs have ended, the claim is requested again. If the state of the batch cannot
- * be determined, it is answered as unknown and not run.
+ * Ensures that only one entry at a time runs a batch, no matter when and to which entry its caller resubmits it.
+ * Before an entry runs a batch, it requests a claim from three registrars and needs the consent of two, so any two
+ * claims share a registrar. When another entry holds the batch, this one waits for its answer. When the holder has
+ * ended its claim, or has been gone for so long that its runs have ended, the claim is requested again. If the state
+ * of the batch cannot be determined, it is answered as unknown and not run.
  */
 export default class BatchClaims {
   private readonly startedAt: number;
@@ -116,7 +116,7 @@
     if (this.localClaims.get(claim.batch) === claim) this.localClaims.delete(claim.batch);
   }
 
-  /** Resolves to `held` once the batch may be run here, or to its answer if it is not. Ends early when `done` aborts. */
+  /** Resolves to `held` once the batch may run here, or to its answer otherwise. Ends early when `done` aborts. */
   async acquire(claim: LocalClaim, done: AbortSignal): Promise<AcquireResult> {
     const { timer } = this.opts;
     await this.waitForStartupLinks(done);
@@ -138,9 +138,7 @@
     }
   }
 
-  /**
-   * Decides what an entry that asks for a batch open here does: `wait` for it, `take` it over, or ask the entry returned.
-   */
+  /** Tells an entry that asks for a batch open here to `wait`, to `take` it over, or which entry to ask instead. */
   decideFollow(
     asker: Link,
     { batch, claim: number, isHeld }: FollowBatch,
@@ -185,7 +183,7 @@
     return 'held';
   }
 
-  /** The outcome after the deadline for a majority of answers: this entry seems to be isolated, and others may serve the batch. */
+  /** The outcome once the deadline has passed without a majority of answers. This entry seems to be isolated. */
   private outcomeIfTimedOut(deadline: number, claim: LocalClaim): BatchFollowed | undefined {
     const { timer, metrics } = this.opts;
     if (timer.now() < deadline) return undefined;
@@ -196,7 +194,7 @@
     return create(BatchFollowedSchema, { outcome: Outcome.NOT_RUN, reason, retryAfterMs });
   }
 
-  /** Waits for links to the other entries, as this entry does not know what they hold before. */
+  /** Waits for links to the other entries, as it is unknown what they hold until then. */
   private async waitForStartupLinks(done: AbortSignal): Promise<void> {
     const { timer } = this.opts;
     const leftMs = this.startedAt + claimLimits.startupLinksTimeoutMs - timer.now();
@@ -204,7 +202,7 @@
     await timer.sleep(leftMs, AbortSignal.any([done, this.linksReady.signal]));
   }
 
-  /** Requests the claim from its registrars. Returns a conflicting claim, if any; `unclear` without a majority of answers. */
+  /** Requests the claim. Returns a conflicting one, if any, or `unclear` without a majority of answers. */
   private async findConflict(claim: LocalClaim): Promise<ClaimConflict | 'unclear' | undefined> {
     if (!claim.yieldedTo) {
       const result = await this.runRound(claim);
@@ -218,13 +216,13 @@
   private async runRound(claim: LocalClaim): Promise<ClaimConflict | 'unclear' | undefined> {
     const { timer, log, metrics } = this.opts;
     const { registrars } = this;
-    const { registrarCandidates: members } = registrars.peers;
-    this.renewer.membersChanged(members.keys());
+    const { registrarCandidates: candidates } = registrars.peers;
+    this.renewer.membersChanged(candidates.keys());
     claim.number = registrars.nextNumber();
     claim.registrars.clear();
-    const entries = registrars.choose(claim.batch, members);
+    const entries = registrars.choose(claim.batch, candidates);
     const asked = entries.map((entry) => {
-      const peer = members.get(entry);
+      const peer = candidates.get(entry);
       return {
         entry,
         isAwaited: !peer?.isSlow,
@@ -235,7 +233,7 @@
       const current = registrars.peers.registrarCandidates;
       const chosen = registrars.choose(claim.batch, current);
       return chosen.every(
-        (each, at) => each === entries[at] && current.get(each) === members.get(each),
+        (each, at) => each === entries[at] && current.get(each) === candidates.get(each),
       );
     });
     if (result === 'unclear') {
--- a/src/claims/ClaimPeers.ts
+++ b/src/claims/ClaimPeers.ts
@@ -48,8 +48,7 @@
     const { instance, incarnation } = link.peer;
     const at = this.timer.now();
     const isBroken = link.failure !== undefined;
-    if (!this.findByIncarnation(incarnation))
-      this.endedLinks.set(incarnation, { instance, at, isBroken });
+    if (!this.byProcess(incarnation)) this.endedLinks.set(incarnation, { instance, at, isBroken });
     this.pruneEndedLinks(at);
   }
 
@@ -59,7 +58,7 @@
   }
 
   /** A linked process by its newest link, as an older one may be dead. */
-  findByIncarnation(incarnation: string): ClaimPeer | undefined {
+  byProcess(incarnation: string): ClaimPeer | undefined {
     const peers = [...this.peersByLink.values()];
     return peers.findLast(({ hello }) => hello.incarnation === incarnation);
   }
@@ -70,18 +69,18 @@
    * sidecar has reported, it is assumed to be alive.
    */
   get registrarCandidates(): ReadonlyMap<string, ClaimPeer | undefined> {
-    const members = new Map<string, ClaimPeer | undefined>();
+    const candidates = new Map<string, ClaimPeer | undefined>();
     const alive = this.liveEntries();
     const since = alive ? this.timer.now() - claimLimits.reconnectGraceMs : -Infinity;
     this.endedLinks.forEach(({ instance, at, isBroken }) => {
-      if (isBroken && at > since) members.set(instance, undefined);
+      if (isBroken && at > since) candidates.set(instance, undefined);
     });
-    alive?.forEach(({ instance }) => members.set(instance, undefined));
+    alive?.forEach(({ instance }) => candidates.set(instance, undefined));
     this.peersByLink.forEach((peer) => {
       const { instance } = peer.hello;
-      if (!alive || !peer.isUnreachable || members.has(instance)) members.set(instance, peer);
+      if (!alive || !peer.isUnreachable || candidates.has(instance)) candidates.set(instance, peer);
     });
-    return members;
+    return candidates;
   }
 
   /** Whether a process may be alive according to the sidecars. */
@@ -98,7 +97,7 @@
 
   /** Whether all runs of a process that was once linked have ended. */
   haveRunsEnded(incarnation: string): boolean {
-    if (this.findByIncarnation(incarnation)) return false;
+    if (this.byProcess(incarnation)) return false;
     // Processes are removed from the list once their runs have ended.
     if (!this.endedLinks.has(incarnation)) return true;
     return (this.goneMs(incarnation) ?? 0) >= RUN_END_BOUND_MS.afterProcessEnd;
--- a/src/claims/ClaimRegistry.ts
+++ b/src/claims/ClaimRegistry.ts
@@ -2,10 +2,10 @@
 import type { BatchHolder } from '../gen/magnoliakeel/v1/peer_pb';
 import claimLimits from './claimLimits';
 
-/** The holder of a batch, and when the record expires. */
+/** The holder of a batch, and when the record expires, by the timer service. */
 interface ClaimRecord {
   readonly holder: BatchHolder;
-  readonly expiresAt: number;
+  readonly expiry: number;
 }
 
 /** The claims that an entry has recorded as a registrar: the newest of each batch. */
@@ -15,15 +15,12 @@
 
   private constructor(
     private readonly timer: TimerService,
-    private readonly haveRunsEnded: (holder: BatchHolder) => boolean,
+    private readonly isGone: (holder: BatchHolder) => boolean,
   ) {}
 
-  /** Creates an empty registry; `haveRunsEnded` tells whether all runs of a holder that is gone have ended. */
-  static create(
-    timer: TimerService,
-    haveRunsEnded: (holder: BatchHolder) => boolean,
-  ): ClaimRegistry {
-    return new ClaimRegistry(timer, haveRunsEnded);
+  /** Creates an empty registry; `isGone` tells whether a holder is gone and its runs have ended. */
+  static create(timer: TimerService, isGone: (holder: BatchHolder) => boolean): ClaimRegistry {
+    return new ClaimRegistry(timer, isGone);
   }
 
   /**
@@ -41,28 +38,27 @@
       return current;
     }
     this.records.delete(batch);
-    this.records.set(batch, { holder, expiresAt: this.timer.now() + keptMs });
+    this.records.set(batch, { holder, expiry: this.timer.now() + keptMs });
     this.pruneRecords();
     return undefined;
   }
 
   private activeHolder(batch: string): BatchHolder | undefined {
-    const record = this.records.get(batch);
-    if (!record || record.expiresAt <= this.timer.now() || this.haveRunsEnded(record.holder))
-      return undefined;
-    return record.holder;
+    const claim = this.records.get(batch);
+    if (!claim || claim.expiry <= this.timer.now() || this.isGone(claim.holder)) return undefined;
+    return claim.holder;
   }
 
   private pruneRecords(): void {
     const now = this.timer.now();
     // The oldest records may expire last, so expired ones are removed before the oldest.
     if (this.records.size > claimLimits.notes) {
-      this.records.forEach(({ expiresAt }, batch) => {
-        if (expiresAt <= now) this.records.delete(batch);
+      this.records.forEach(({ expiry }, batch) => {
+        if (expiry <= now) this.records.delete(batch);
       });
     }
-    for (const [batch, { expiresAt }] of this.records) {
-      if (expiresAt > now && this.records.size <= claimLimits.notes) return;
+    for (const [batch, { expiry }] of this.records) {
+      if (expiry > now && this.records.size <= claimLimits.notes) return;
       this.records.delete(batch);
     }
   }
--- a/src/claims/ClaimRound.ts
+++ b/src/claims/ClaimRound.ts
@@ -4,7 +4,7 @@
 import claimLimits from './claimLimits';
 import type ClaimConflict from './ClaimConflict';
 
-/** Result of a round: a conflicting claim, undefined when the claim is granted, or `unclear` without a majority of answers. */
+/** A conflicting claim, undefined when the claim is granted, or `unclear` without a majority of answers. */
 type RoundResult = ClaimConflict | 'unclear' | undefined;
 
 interface RegistrarRequest {
@@ -21,9 +21,10 @@
 
   private readonly quorum: number;
 
-  private grantCount = 0;
+  private grants = 0;
 
-  private hasWaitedLong = false;
+  /** Whether registrars beyond a majority are no longer waited for. */
+  private isLate = false;
 
   private readonly timers: readonly Subscription[];
 
@@ -37,13 +38,13 @@
     this.quorum = Math.floor(registrars.length / 2) + 1;
     this.timers = [
       timer.after(claimLimits.answerTimeoutMs, () => {
-        this.hasWaitedLong = true;
+        this.isLate = true;
         this.checkQuorum();
       }),
       timer.every(claimLimits.probeIntervalMs, () => {
-        if (!isCurrent()) this.finish('unclear');
+        if (!isCurrent()) this.end('unclear');
       }),
-      timer.after(claimLimits.quorumTimeoutMs, () => this.finish('unclear')),
+      timer.after(claimLimits.quorumTimeoutMs, () => this.end('unclear')),
     ];
     registrars.forEach(({ entry, answer }) =>
       answer
@@ -72,19 +73,18 @@
     this.awaited.delete(registrar);
     if (answer?.holder) {
       const { holder, goneMs, silentMs } = answer;
-      this.finish({ holder, goneMs, silentMs, registrar });
+      this.end({ holder, goneMs, silentMs, registrar });
       return;
     }
-    if (answer) this.grantCount += 1;
+    if (answer) this.grants += 1;
     this.checkQuorum();
   }
 
   private checkQuorum(): void {
-    if (this.grantCount >= this.quorum && (this.hasWaitedLong || this.awaited.size === 0))
-      this.finish(undefined);
+    if (this.grants >= this.quorum && (this.isLate || this.awaited.size === 0)) this.end(undefined);
   }
 
-  private finish(result: RoundResult): void {
+  private end(result: RoundResult): void {
     this.timers.forEach((timer) => timer.cancel());
     this.resolve(result);
   }
--- a/src/claims/ConflictResolver.ts
+++ b/src/claims/ConflictResolver.ts
@@ -44,7 +44,7 @@
   ): Promise<BatchFollowed | undefined> {
     const { holder, goneMs, silentMs, registrar } = conflict;
     const { peers } = this.opts.registrars;
-    const peer = peers.findByIncarnation(holder.incarnation);
+    const peer = peers.byProcess(holder.incarnation);
     claim.isContested = true;
     claim.contested();
     this.opts.log.info('a batch is already claimed by another entry', {
@@ -88,7 +88,7 @@
     return result.kind === 'answered' ? result.state : undefined;
   }
 
-  /** Waits for an unreachable holder until its runs have ended, its link opens, or the time-out makes the outcome unknown. */
+  /** Waits a while for an unreachable holder to reconnect or its runs to end; the outcome is unknown after a time-out. */
   private async waitForHolder(
     goneMs: number | undefined,
     claim: LocalClaim,
--- a/src/claims/HeldClaimRenewer.ts
+++ b/src/claims/HeldClaimRenewer.ts
@@ -25,7 +25,7 @@
     return new HeldClaimRenewer(opts);
   }
 
-  /** Renews held claims if the registrar candidates have changed: one that was unreachable may be back and have missed claims. */
+  /** Renews held claims if the candidates have changed: one that was unreachable may be back and have missed claims. */
   membersChanged(members: Iterable<string>): void {
     const names = [...members].sort().join();
     if (names === this.lastMembers) return;
@@ -35,12 +35,12 @@
 
   /** Requests held claims from registrars that do not have them yet. */
   renew(): void {
-    const { registrars, localClaims: own } = this.opts;
-    const { registrarCandidates: members } = registrars.peers;
-    own.forEach((claim) => {
+    const { registrars, localClaims } = this.opts;
+    const { registrarCandidates: candidates } = registrars.peers;
+    localClaims.forEach((claim) => {
       if (claim.state !== 'held') return;
       registrars
-        .choose(claim.batch, members)
+        .choose(claim.batch, candidates)
         .filter((entry) => !claim.registrars.has(entry))
         .forEach((entry) => this.renewAt(entry, claim));
     });
@@ -55,17 +55,17 @@
       });
   }
 
-  /** Asks the holder of a conflicting claim at a new registrar whether it has ended its claim or has taken the batch over. */
+  /** Asks the holder of a conflicting claim at a new registrar whether its claim has ended or it runs the batch. */
   private verifyHolder(claim: LocalClaim, holder: BatchHolder, registrar: string): void {
-    const { registrars, localClaims: own } = this.opts;
-    const peer = registrars.peers.findByIncarnation(holder.incarnation);
+    const { registrars, localClaims } = this.opts;
+    const peer = registrars.peers.byProcess(holder.incarnation);
     if (!peer) return;
     const number = registrars.nextNumber();
     const { batch, number: ownNumber } = claim;
     const request = create(FollowBatchSchema, { batch, number, claim: ownNumber, isHeld: true });
     peer.follow(request, ({ outcome }) => {
       peer.unfollow(number);
-      if (own.get(batch) !== claim) return;
+      if (localClaims.get(batch) !== claim) return;
       if (outcome !== Outcome.ABSENT && outcome !== Outcome.UNSPECIFIED) {
         this.handleLoss(claim, holder, registrar);
         return;
--- a/src/claims/Registrars.ts
+++ b/src/claims/Registrars.ts
@@ -37,7 +37,7 @@
     );
   }
 
-  /** Creates it for an entry that is not linked to others; `liveEntries` returns entries that sidecars know to be alive. */
+  /** Creates it for an entry without links; `liveEntries` returns the entries that sidecars know to be alive. */
   static create(
     timer: TimerService,
     self: Self,
@@ -84,7 +84,7 @@
     const holder = this.registry.claim(batch, claimant, keptMs, past);
     if (!holder) return create(BatchClaimedSchema, { number });
     const goneMs = this.goneMs(holder.incarnation);
-    const silentMs = Math.round(this.peers.findByIncarnation(holder.incarnation)?.silentMs ?? 0);
+    const silentMs = Math.round(this.peers.byProcess(holder.incarnation)?.silentMs ?? 0);
     const roundedGoneMs = goneMs === undefined ? undefined : Math.round(goneMs);
     return create(BatchClaimedSchema, { number, holder, goneMs: roundedGoneMs, silentMs });
   }
--- a/src/claims/claimLimits.ts
+++ b/src/claims/claimLimits.ts
@@ -6,13 +6,13 @@
   answerTimeoutMs: 150,
   /** Interval at which the choice of registrars is checked again, and the holder of a batch is asked again. */
   probeIntervalMs: 250,
-  /** An entry that has answered nothing for this long is not used as a registrar: it is paused or isolated, not only slow. */
+  /** An entry that has not answered for this long is no registrar: it is paused or isolated, not only slow. */
   unreachableAfterMs: 1_000,
   /** An entry whose link broke stays a registrar for this long, as it may reconnect soon. */
   reconnectGraceMs: 500,
   /** Delay before a claim is retried while the holder's link is opening or closing. */
   retryDelayMs: 50,
-  /** How long a holder that other entries are linked to may be unreachable from here before its batch is given up here. */
+  /** How long a holder that other entries are linked to may be unreachable before its batch is given up here. */
   holderTimeoutMs: 500,
   /**
    * How long a batch waits for a majority of registrars before it is refused, since this entry may be isolated. By
--- a/src/dispatch/CreditPool.ts
+++ b/src/dispatch/CreditPool.ts
@@ -34,7 +34,7 @@
     this.count += 1;
   }
 
-  /** Takes a credit of the sidecar with the most, skipping sidecars for which `avoid` returns true; undefined if none is left. */
+  /** Takes a credit of the sidecar with the most, except sidecars for which `avoid` returns true. */
   take(avoid: (sidecar: string) => boolean): HeldCredit | undefined {
     let best: string | undefined;
     let bestCount = 0;
--- a/src/dispatch/Dispatcher.ts
+++ b/src/dispatch/Dispatcher.ts
@@ -211,8 +211,8 @@
     const state = this.serviceOf(borrow.service);
     this.entryLoads.setIdle(entry, borrow.service, 0);
     const lend = this.lendCredits(state, entry, borrow.wanted);
-    if (lend.credits.length > 0) state.incomingBorrows.remove(entry);
-    else state.incomingBorrows.add(entry, borrow.wanted, this.options.timer.now());
+    if (lend.credits.length > 0) state.borrowers.remove(entry);
+    else state.borrowers.add(entry, borrow.wanted, this.options.timer.now());
     return lend;
   }
 
@@ -227,8 +227,7 @@
     this.returnCredits(state, unusable);
     this.entryLoads.setIdle(entry, lend.service, unusable.length > 0 ? 0 : lend.idle);
     // An entry that lent unusable credits is not asked again at once, or they would go back and forth.
-    if (unusable.length > 0)
-      state.outgoingBorrows.add(entry, state.queue.length, this.options.timer.now());
+    if (unusable.length > 0) state.lenders.add(entry, state.queue.length, this.options.timer.now());
     this.dispatch(state);
   }
 
@@ -237,8 +236,8 @@
     this.entryLoads.remove(entry);
     this.services.forEach((state) => {
       if (state.awaitedLender === entry) state.awaitedLender = undefined;
-      state.outgoingBorrows.remove(entry);
-      state.incomingBorrows.remove(entry);
+      state.lenders.remove(entry);
+      state.borrowers.remove(entry);
     });
     const bySidecar = new Map<string, HeldCredit[]>();
     (this.lentByEntry.get(entry) ?? []).forEach((held) => {
@@ -293,8 +292,8 @@
         startInterval: StartInterval.create(),
         outliers: OutlierDetector.create(() => this.options.ejectionLimitsOf?.(service)),
         awaitedLender: undefined,
-        outgoingBorrows: PendingBorrows.create(),
-        incomingBorrows: PendingBorrows.create(),
+        lenders: PendingBorrows.create(),
+        borrowers: PendingBorrows.create(),
         placedCount: 0,
       };
       this.services.set(service, state);
@@ -320,11 +319,10 @@
   /** Lends idle credits to entries whose borrow requests are pending because there were none. */
   private lendToPending(state: ServiceState): void {
     while (this.idleCount(state) > 0) {
-      const request = state.incomingBorrows.takeOldest(this.options.timer.now());
-      if (!request) return;
-      const value = this.lendCredits(state, request.entry, request.wanted);
-      if (!this.options.sendToEntry(request.entry, { case: 'lend', value }))
-        this.restoreCredits(state, value);
+      const req = state.borrowers.takeOldest(this.options.timer.now());
+      if (!req) return;
+      const value = this.lendCredits(state, req.entry, req.wanted);
+      if (!this.options.sendToEntry(req.entry, { case: 'lend', value })) this.restore(state, value);
     }
   }
 
@@ -339,7 +337,7 @@
     return create(LendSchema, { service: state.service, credits, idle: this.idleCount(state) });
   }
 
-  private restoreCredits(state: ServiceState, { credits }: Lend): void {
+  private restore(state: ServiceState, { credits }: Lend): void {
     credits.forEach(({ sidecar, credit }) => {
       if (credit) state.pool.add({ sidecar, credit });
     });
@@ -439,8 +437,8 @@
   private recordBorrowAnswer(state: ServiceState, entry: string, { credits }: Lend): void {
     this.options.metrics?.creditsBorrowed(state.service, credits.length);
     if (state.awaitedLender === entry) state.awaitedLender = undefined;
-    if (credits.length > 0) state.outgoingBorrows.remove(entry);
-    else state.outgoingBorrows.add(entry, state.queue.length, this.options.timer.now());
+    if (credits.length > 0) state.lenders.remove(entry);
+    else state.lenders.add(entry, state.queue.length, this.options.timer.now());
   }
 
   private toHeldCredit(
@@ -487,8 +485,8 @@
   private chooseLender(state: ServiceState): string | undefined {
     const mostIdle = this.entryLoads.mostIdle(state.service);
     if (mostIdle !== undefined) return mostIdle;
-    const pending = state.outgoingBorrows.entries(this.options.timer.now());
-    if (pending.size >= MAX_OUTGOING_BORROWS) return undefined;
+    const pending = state.lenders.entries(this.options.timer.now());
+    if (pending.size >= MAX_PENDING_LENDERS) return undefined;
     return this.entryLoads.entries().find((entry) => !pending.has(entry));
   }
 
@@ -571,10 +569,10 @@
   readonly outliers: OutlierDetector;
   /** The entry that was asked for credits and has not answered. */
   awaitedLender: string | undefined;
-  /** Entries that were asked, had no idle credit and will lend the next one. */
-  readonly outgoingBorrows: PendingBorrows;
+  /** Entries that had no idle credit when asked, and will lend the next one. */
+  readonly lenders: PendingBorrows;
   /** Entries that asked when there was no idle credit here. */
-  readonly incomingBorrows: PendingBorrows;
+  readonly borrowers: PendingBorrows;
   /** Number of tasks placed without a credit. */
   placedCount: number;
 }
@@ -588,7 +586,7 @@
 }
 
 /** Maximum number of entries at which borrow requests of this one may be pending. */
-const MAX_OUTGOING_BORROWS = 3;
+const MAX_PENDING_LENDERS = 3;
 
 /** Maximum number of lent credits that are remembered for each entry; more than it can hold at once. */
 const MAX_LENT_CREDITS = 16_384;
