--- a/src/claims/BatchClaims.ts
+++ b/src/claims/BatchClaims.ts
@@ -22,7 +22,7 @@
 import type LocalClaim from './LocalClaim';
 import Registrars from './Registrars';
 
-interface ClaimsOptions {
+interface BatchClaimsOptions {
   readonly timer: TimerService;
   readonly log: EventLog;
   readonly metrics?: Metrics;
@@ -56,7 +56,7 @@
   /** Aborted to end the wait for the links that the process opens at its start. */
   private readonly linksReady = new AbortController();
 
-  private constructor(private readonly opts: ClaimsOptions) {
+  private constructor(private readonly opts: BatchClaimsOptions) {
     this.startedAt = opts.timer.now();
     this.registrars = Registrars.create(opts.timer, opts, opts.liveEntries);
     const { registrars, localClaims } = this;
@@ -65,7 +65,7 @@
   }
 
   /** Creates the claims of an entry that is not linked to others yet. */
-  static create(opts: ClaimsOptions): BatchClaims {
+  static create(opts: BatchClaimsOptions): BatchClaims {
     return new BatchClaims(opts);
   }
 
@@ -183,7 +183,10 @@
     return 'held';
   }
 
-  /** The outcome once the deadline has passed without a majority of answers. This entry seems to be isolated. */
+  /**
+   * The outcome once the deadline has passed without a majority of answers: this entry seems to be isolated, while
+   * others may serve the batch.
+   */
   private outcomeIfTimedOut(deadline: number, claim: LocalClaim): BatchFollowed | undefined {
     const { timer, metrics } = this.opts;
     if (timer.now() < deadline) return undefined;
--- a/src/claims/claimLimits.ts
+++ b/src/claims/claimLimits.ts
@@ -19,7 +19,7 @@
    * then sidecars have reported which entries are gone.
    */
   quorumTimeoutMs: 1_500,
-  /** Retry delay told to the callers of such a batch. */
+  /** Retry delay given to the callers of such a batch. */
   callerRetryAfterMs: 1_000,
   /** How long after the start of the process batches wait for links to the other entries, at most. */
   startupLinksTimeoutMs: 1_000,
--- a/src/dispatch/Dispatcher.ts
+++ b/src/dispatch/Dispatcher.ts
@@ -173,7 +173,7 @@
     this.dispatch(state);
   }
 
-  /** Requeues a task that a sidecar has refused, as it is certain not to have run. */
+  /** Requeues a task whose start a sidecar has refused; a duplicate start counts as a lost attempt. */
   handleRefuse(peer: SidecarPeer, refuse: Refuse): void {
     const run = refuse.task && this.running.get(taskKey(refuse.task.job, refuse.task.index));
     if (!run || run.sidecar !== peer.incarnation) return;
@@ -490,6 +490,7 @@
     return this.entryLoads.entries().find((entry) => !pending.has(entry));
   }
 
+  /** Requeues a task that is certain not to have run. */
   private requeueNotRun(task: QueuedTask, reason: string): void {
     task.onNotStarted();
     if (!task.isWanted()) return;
--- a/src/dispatch/StartInterval.ts
+++ b/src/dispatch/StartInterval.ts
@@ -17,12 +17,12 @@
   }
 
   /** Records a start. An interval counts only if tasks stayed queued after the earlier start. */
-  recordStart(now: number, othersWait: boolean): void {
+  recordStart(now: number, othersQueued: boolean): void {
     if (this.previousStartAt !== undefined) {
       const intervalMs = now - this.previousStartAt;
       this.average += (intervalMs - this.average) * SMOOTHING_FACTOR;
     }
-    this.previousStartAt = othersWait ? now : undefined;
+    this.previousStartAt = othersQueued ? now : undefined;
   }
 }
 
--- a/test/dispatch/borrowing.test.ts
+++ b/test/dispatch/borrowing.test.ts
@@ -34,7 +34,7 @@
   `);
 });
 
-it('meets a pending borrow request as soon as a credit is idle', async () => {
+it('serves a pending borrow request as soon as a credit is idle', async () => {
   const run = DispatcherCase.create();
   run.openLinks('x');
   reportLoads(run, { b: 0 });
--- a/test/faults/lostOwner.test.ts
+++ b/test/faults/lostOwner.test.ts
@@ -29,7 +29,7 @@
   });
 }
 
-test('a lost owner’s job passes over a leaving entry to the next owner, which continues it', async () => {
+test('a lost owner’s job is continued by the next owner that is not leaving', async () => {
   const system = await startSystem();
   const id = idOf(system, 'e2');
   const kept = Array.from({ length: 50 }, (_, n) => `kept-${n}`).find(
--- a/test/faults/matrix.test.ts
+++ b/test/faults/matrix.test.ts
@@ -13,6 +13,6 @@
   });
 });
 
-it('has the recorded outcomes', async () => {
+it('matches the outcomes recorded in matrix.txt', async () => {
   await expect(`${rows.join('\n')}\n`).toMatchFileSnapshot('matrix.txt');
 });
--- a/test/faults/steps.ts
+++ b/test/faults/steps.ts
@@ -15,6 +15,7 @@
   };
 }
 
+/** Sends the calls and waits until tasks have been running for a while. */
 async function startTasks(cell: MatrixCell): Promise<void> {
   cell.sendCalls();
   await cell.system.advanceUntil(() => cell.startCount('J') > 0, 2000);
@@ -64,7 +65,7 @@
           held.release();
           await system.restart(owner);
         }
-      : 'no sidecar was to confirm a view';
+      : 'no sidecar confirmed a view';
   },
   'owner draining': async (cell) => {
     await startTasks(cell);
--- a/test/support/HeldMessages.ts
+++ b/test/support/HeldMessages.ts
@@ -6,7 +6,7 @@
   readonly to: string;
 }
 
-/** Messages held back on the memory network, so that others overtake them. */
+/** Messages held back on the in-memory network, so that others overtake them. */
 export default class HeldMessages {
   private held: (() => void)[] = [];
 
--- a/test/support/SimulationEvent.ts
+++ b/test/support/SimulationEvent.ts
@@ -1,4 +1,4 @@
-/** Something that a caller or a backend server observed; checks of the guarantees use nothing else. */
+/** An event seen by a caller or a backend server, in order of time; checks of the guarantees use nothing else. */
 type SimulationEvent =
   | {
       readonly kind: 'started';
