--- a/test/dispatch/OutlierDetector.test.ts
+++ b/test/dispatch/OutlierDetector.test.ts
@@ -68,15 +68,15 @@
 });
 
 it('neither uses nor lends the credits of an ejected backend server', () => {
-  const run = DispatcherCase.create({
+  const fixture = DispatcherCase.create({
     ejectionLimitsOf: () => ({ ...LIMITS, minTasks: 1, maxShare: 1 }),
   });
-  run.openLinks('x');
-  run.grant('x', 1);
-  run.enqueue('j');
-  run.reportDone('x', 'j', 0, TaskStatus.FAILED);
-  run.enqueue('k');
-  expect([run.takeLog(), run.dispatcher.serviceLoads()[0]!.idle]).toMatchInlineSnapshot(`
+  fixture.openLinks('x');
+  fixture.grant('x', 1);
+  fixture.enqueue('j');
+  fixture.reportDone('x', 'j', 0, TaskStatus.FAILED);
+  fixture.enqueue('k');
+  expect([fixture.takeLog(), fixture.dispatcher.serviceLoads()[0]!.idle]).toMatchInlineSnapshot(`
     [
       "x: start j/0
     j/0 FAILED",
--- a/test/dispatch/policies.test.ts
+++ b/test/dispatch/policies.test.ts
@@ -5,10 +5,10 @@
 import DispatcherCase from '../support/DispatcherCase';
 
 function startsBy(policy: PolicyName): string {
-  const run = DispatcherCase.create({ policy });
-  run.openLinks('xyz');
-  run.enqueue('j', { count: 6 });
-  return run
+  const fixture = DispatcherCase.create({ policy });
+  fixture.openLinks('xyz');
+  fixture.enqueue('j', { count: 6 });
+  return fixture
     .takeLog()
     .split('\n')
     .map((line) => line[0])
@@ -34,28 +34,28 @@
 });
 
 it('does not start a refused task again when its result is no longer needed', () => {
-  const run = DispatcherCase.create();
-  run.openLinks('x');
-  run.grant('x', 1);
-  run.enqueue('j', { isWanted: () => false });
-  run.refuse('x', 'j');
-  run.grant('x', 1);
-  expect(run.takeLog()).toMatchInlineSnapshot(`"x: start j/0"`);
+  const fixture = DispatcherCase.create();
+  fixture.openLinks('x');
+  fixture.grant('x', 1);
+  fixture.enqueue('j', { isWanted: () => false });
+  fixture.refuse('x', 'j');
+  fixture.grant('x', 1);
+  expect(fixture.takeLog()).toMatchInlineSnapshot(`"x: start j/0"`);
 });
 
 // A sidecar of a later version may refuse a start for a cause that this entry does not know. The task was removed
 // from the running ones before the name of the cause was looked up, which threw "Cannot read properties of undefined
 // (reading 'toLowerCase')": it was neither restarted nor settled, and its job hung until its time-out.
 it('restarts a task that was refused for an unknown cause', () => {
-  const run = DispatcherCase.create();
-  run.openLinks('x');
-  run.grant('x', 1);
-  run.enqueue('j');
+  const fixture = DispatcherCase.create();
+  fixture.openLinks('x');
+  fixture.grant('x', 1);
+  fixture.enqueue('j');
   const task = { job: 'j', index: 0 };
-  run.dispatcher.handleRefuse(
-    run.peer('x'),
+  fixture.dispatcher.handleRefuse(
+    fixture.peer('x'),
     create(RefuseSchema, { task, cause: 77 as RefusalCause }),
   );
-  run.grant('x', 1);
-  expect(run.takeLog()).toBe('x: start j/0\nx: start j/0');
+  fixture.grant('x', 1);
+  expect(fixture.takeLog()).toBe('x: start j/0\nx: start j/0');
 });
--- a/test/dispatch/predictedWait.test.ts
+++ b/test/dispatch/predictedWait.test.ts
@@ -2,19 +2,19 @@
 import DispatcherCase from '../support/DispatcherCase';
 
 async function startBacklog(): Promise<DispatcherCase> {
-  const run = DispatcherCase.create();
-  run.openLinks('x');
-  run.enqueue('j', { count: 300 });
+  const fixture = DispatcherCase.create();
+  fixture.openLinks('x');
+  fixture.enqueue('j', { count: 300 });
   for (let at = 0; at < 200; at += 1) {
-    run.grant('x', 1);
-    await run.timer.advance(10);
+    fixture.grant('x', 1);
+    await fixture.timer.advance(10);
   }
-  return run;
+  return fixture;
 }
 
 it('predicts the wait of a team from the tasks ahead and the average start interval', async () => {
-  const run = await startBacklog();
-  const wait = (team: string) => Math.round(run.dispatcher.predictedWaitMs('booking', team));
+  const fixture = await startBacklog();
+  const wait = (team: string) => Math.round(fixture.dispatcher.predictedWaitMs('booking', team));
   expect({ sameTeam: wait('web'), otherTeam: wait('other') }).toMatchInlineSnapshot(`
     {
       "otherTeam": 10,
@@ -24,9 +24,9 @@
 });
 
 it('predicts no wait without a queue', () => {
-  const run = DispatcherCase.create();
-  run.openLinks('x');
-  run.grant('x', 1);
-  run.enqueue('j');
-  expect(run.dispatcher.predictedWaitMs('booking', 'web')).toBe(0);
+  const fixture = DispatcherCase.create();
+  fixture.openLinks('x');
+  fixture.grant('x', 1);
+  fixture.enqueue('j');
+  expect(fixture.dispatcher.predictedWaitMs('booking', 'web')).toBe(0);
 });
