--- a/test/dispatch/OutlierDetector.test.ts
+++ b/test/dispatch/OutlierDetector.test.ts
@@ -11,7 +11,7 @@
   maxShare: 0.3,
 };
 
-/** Four backend servers with four finished tasks each; those named have failed some. */
+/** Four backend servers with four finished tasks each, some of which failed at those named. */
 function afterFailuresOf(failing: string, failures: number): OutlierDetector {
   const ejections = OutlierDetector.create(() => LIMITS);
   for (let at = 0; at < 4; at += 1) {
@@ -27,7 +27,7 @@
   return [...'wxyz'].filter((name) => ejections.isEjected(name, now)).join('');
 }
 
-it('avoids a backend server that fails far more than its peers, and no others', () => {
+it('ejects a backend server that fails far more often than the others, and no others', () => {
   expect({
     allOfOne: avoided(afterFailuresOf('x', 4), 1),
     fewOfOne: avoided(afterFailuresOf('x', 1), 1),
@@ -43,7 +43,7 @@
   `);
 });
 
-it('tries a single task after the probation', () => {
+it('sends a single task as a probe after the probation', () => {
   const ejections = afterFailuresOf('x', 4);
   const afterProbation = avoided(ejections, 1001);
   ejections.taskStarted('x');
@@ -68,15 +68,15 @@
 });
 
 it('neither uses nor lends the credits of an ejected backend server', () => {
-  const run = DispatcherCase.create({
+  const fixture = DispatcherCase.create({
     ejectionLimitsOf: () => ({ ...LIMITS, minTasks: 1, maxShare: 1 }),
   });
-  run.openLinks('x');
-  run.grant('x', 1);
-  run.enqueue('j');
-  run.reportDone('x', 'j', 0, TaskStatus.FAILED);
-  run.enqueue('k');
-  expect([run.takeLog(), run.dispatcher.serviceLoads()[0]!.idle]).toMatchInlineSnapshot(`
+  fixture.openLinks('x');
+  fixture.grant('x', 1);
+  fixture.enqueue('j');
+  fixture.reportDone('x', 'j', 0, TaskStatus.FAILED);
+  fixture.enqueue('k');
+  expect([fixture.takeLog(), fixture.dispatcher.serviceLoads()[0]!.idle]).toMatchInlineSnapshot(`
     [
       "x: start j/0
     j/0 FAILED",
