--- a/src/batches/durationScorer.ts
+++ b/src/batches/durationScorer.ts
@@ -8,54 +8,66 @@
   readonly batch: Batch;
   readonly task: BatchTask;
   readonly peers: Iterable<SidecarPeer>;
-  readonly speeds?: ReadonlyMap<SidecarPeer, number>;
+  readonly machineRatios?: ReadonlyMap<SidecarPeer, number>;
   readonly remoteFactor?: number;
   readonly now: number;
 }
 
 /**
- * What speaks for each place by the time that the task takes there, as a share of a backend server's room. A batch is
- * as late as its slowest task: once one of its tasks ends late, the others need no fast machine any more. Nothing
- * speaks for any place where work takes the same everywhere.
+ * Scores backend servers by the duration of the task there, as a share of a backend server's
+ * capacity. A batch is as late as its slowest task: once one of its tasks ends late, the others
+ * need no fast machine any more. The score is 0 everywhere if all durations are the same.
  */
 export default function durationScorer(choice: Choice): (peer: SidecarPeer) => number {
-  const { batch, task, speeds = ALIKE, remoteFactor, now } = choice;
+  const { batch, task, machineRatios = NO_RATIOS, remoteFactor, now } = choice;
   const { preferredLabel, estimateMs } = task.step;
-  const isLocal = preferredLabel !== '' && remoteFactor !== undefined;
-  if (speeds.size === 0 && !isLocal) return () => 0;
-  const { targetAt: aimAt, expiresAt: uselessAt } = batch;
-  const isThrifty = speeds.size > 0 && isFastRoomShort(choice);
+  const hasLocality = preferredLabel !== '' && remoteFactor !== undefined;
+  if (machineRatios.size === 0 && !hasLocality) return () => 0;
+  const { targetAt, expiresAt } = batch;
+  const conservesFastBackends = machineRatios.size > 0 && isFastCapacityShort(choice);
   return (peer) => {
-    const { machine: speed, distance: remote } = durationRatiosOf(task, peer, choice);
-    const times = speed * remote;
-    const endsAt = Math.max(batch.expectedEndAt, now + estimateMs * times * (1 + MARGIN));
+    const { machine, distance } = durationRatiosOf(task, peer, choice);
+    const durationRatio = machine * distance;
+    const endsAt = Math.max(
+      batch.expectedEndAt,
+      now + estimateMs * durationRatio * (1 + DURATION_MARGIN),
+    );
     return placementScore({
       endsAt,
-      targetAt: aimAt,
-      expiresAt: uselessAt,
-      durationRatio: times,
-      conservesFastBackends: isThrifty,
+      targetAt,
+      expiresAt,
+      durationRatio,
+      conservesFastBackends,
     });
   };
 }
 
-/** Whether less is free where work does not go slower than in the middle than a burst takes. */
-function isFastRoomShort({ peers, speeds = ALIKE, batch }: Choice): boolean {
+/**
+ * Whether the free capacity of the machines that are not slower than the mean is below the reserve
+ * for a burst.
+ */
+function isFastCapacityShort({ peers, machineRatios = NO_RATIOS, batch }: Choice): boolean {
   const { service } = batch.submission.queue;
-  let total = 0;
-  let left = 0;
+  let totalMilli = 0;
+  let freeMilli = 0;
   [...peers].forEach((peer) => {
-    if (peer.service !== service || (speeds.get(peer) ?? 1) > 1) return;
-    total += peer.capacity.cpuMilli;
-    left += peer.free.cpuMilli;
+    if (peer.service !== service || (machineRatios.get(peer) ?? 1) > 1) return;
+    totalMilli += peer.capacity.cpuMilli;
+    freeMilli += peer.free.cpuMilli;
   });
-  return left < total * BURST_SHARE;
+  return freeMilli < totalMilli * FAST_RESERVE_SHARE;
 }
 
-const ALIKE: NonNullable<Choice['speeds']> = new Map();
+const NO_RATIOS: NonNullable<Choice['machineRatios']> = new Map();
 
-/** By how much more than is expected a task of a batch may take, in times: the tasks of one batch differ by it. */
-const MARGIN = 0.15;
+/**
+ * Relative margin by which a task may take longer than expected: the tasks of one batch differ by
+ * it.
+ */
+const DURATION_MARGIN = 0.15;
 
-/** Share of the fast room that is kept free for what needs it: a burst of twice the usual work. */
-const BURST_SHARE = 0.5;
+/**
+ * Share of the fast capacity that is reserved for tasks that need it: a burst of twice the usual
+ * work.
+ */
+const FAST_RESERVE_SHARE = 0.5;
--- a/src/batches/exceedsCrashLimit.ts
+++ b/src/batches/exceedsCrashLimit.ts
@@ -1,16 +1,19 @@
 import type BatchTask from './BatchTask';
 
 /**
- * Whether a task is given up because backend servers crash under it: when it was the likeliest cause three times, the
- * last time alone (`hasToRunAlone`). One that was merely there is innocent for longer: the backend server may
- * crash by itself.
+ * Whether a task is failed because backend servers crash under it: when it was the likeliest cause
+ * three times, the last time alone (`hasToRunAlone`). A task that merely ran there is tolerated for
+ * longer, because a backend server may crash by itself.
  */
 export default function exceedsCrashLimit({ suspicion, crashes }: BatchTask): boolean {
-  return suspicion >= MOST_SUSPICION || crashes >= MOST_CRASHES;
+  return suspicion >= MAX_SUSPICION || crashes >= MAX_CRASHES;
 }
 
-/** Crashes of which a task was the likeliest cause. */
-const MOST_SUSPICION = 3;
+/** Number of crashes of which a task was the likeliest cause. */
+const MAX_SUSPICION = 3;
 
-/** Crashes at which a task was there: the users' pages allow three starts after the third. */
-const MOST_CRASHES = 5;
+/**
+ * Number of crashes at which a task was running: the documentation for users allows three starts
+ * after the third.
+ */
+const MAX_CRASHES = 5;
--- a/src/batches/noJobHandlers.ts
+++ b/src/batches/noJobHandlers.ts
@@ -12,7 +12,7 @@
 
 const REASON = 'this entry runs batches and keeps no jobs';
 
-/** The calls of entries that keep jobs, as an entry for batches answers them: it has none. */
+/** Handlers of the calls between entries that keep jobs; a batch entry has no jobs. */
 const noJobHandlers: Omit<PeerHandlers, 'link'> = {
   forward: async () => {
     const value = create(AnswerSchema, { outcome: Outcome.NOT_RUN, reason: REASON });
--- a/src/batches/recordAccepted.ts
+++ b/src/batches/recordAccepted.ts
@@ -2,11 +2,11 @@
 import type BatchEntryOptions from './BatchEntryOptions';
 import type EntryContext from './EntryContext';
 
-/** Counts and logs a batch that was accepted. */
+/** Counts and logs an accepted batch. */
 export default function recordAccepted(
   { log, metrics }: Pick<BatchEntryOptions, 'log' | 'metrics'>,
   { submission }: Batch,
-  circumstances: EntryContext,
+  context: EntryContext,
 ): void {
   const { id, queue, steps, waitMs, spentMs } = submission;
   metrics?.add('batches_accepted_total', 1, queue.name);
@@ -18,6 +18,6 @@
     statedMs: steps.map(({ statedMs }) => statedMs),
     waitMs,
     spentMs,
-    ...circumstances,
+    ...context,
   });
 }
--- a/src/batches/registerBatchEntryMetrics.ts
+++ b/src/batches/registerBatchEntryMetrics.ts
@@ -1,16 +1,16 @@
 import type Metrics from '../observe/Metrics';
 import type BatchEntry from './BatchEntry';
 
-/** Has the state of an entry for batches read whenever its metrics are shown. */
+/** Registers the gauges of a batch entry, which are read whenever the metrics are rendered. */
 export default function registerBatchEntryMetrics(entry: BatchEntry, metrics: Metrics): void {
   metrics.read('batches_open', () => [{ value: entry.openCount }]);
   metrics.read('batch_tasks_waiting', () => [{ value: entry.queuedCount }]);
-  metrics.read('lateness_seconds', () => [{ value: entry.latenessMs / SECOND_MS }]);
+  metrics.read('lateness_seconds', () => [{ value: entry.lagMs / SECOND_MS }]);
   metrics.read('backends_by_speed', () => {
     const speeds = [...entry.speeds.values()];
     return [
-      { labels: ['fast'], value: speeds.filter((times) => times < 1).length },
-      { labels: ['slow'], value: speeds.filter((times) => times > 1).length },
+      { labels: ['fast'], value: speeds.filter((ratio) => ratio < 1).length },
+      { labels: ['slow'], value: speeds.filter((ratio) => ratio > 1).length },
     ];
   });
   metrics.read('linked_sidecars', () => [{ value: entry.sidecarCount }]);
--- a/src/batches/retryDelays.ts
+++ b/src/batches/retryDelays.ts
@@ -1,11 +1,11 @@
-/** When refused callers are asked to come back, ms. */
+/** Values of `retryAfterMs` in refusals, ms. */
 const retryDelays = {
-  /** The shortest time: a burst does not pass faster. */
-  leastMs: 300,
-  /** The longest time after which callers begin to come back in a shortage: it may end any moment. */
-  mostMs: 3_000,
-  /** After a refusal for want of backend servers: two of their heartbeats. */
-  noRoomMs: 3_000,
+  /** Lower bound: no burst passes in less time. */
+  minMs: 300,
+  /** Upper bound for the earliest retry in a shortage, which may end at any moment. */
+  maxMs: 3_000,
+  /** When no backend server is available: two heartbeats of a backend server. */
+  noBackendMs: 3_000,
 } as const;
 
 export default retryDelays;
--- a/src/batches/shouldRefuseEarly.ts
+++ b/src/batches/shouldRefuseEarly.ts
@@ -1,19 +1,24 @@
 import type StartPrediction from './StartPrediction';
 
 /**
- * Whether a batch is refused while others wait, for the load above the room.
+ * Whether a batch is refused while others are waiting, when load exceeds capacity.
  *
- * One in line is refused when it is late and others are not: it would take room that these can be served in time
- * with, and its caller hears of it while it can do something else.
+ * A batch in the backlog is refused if it is late and others are not: it would take capacity with
+ * which these can be answered in time, and its caller learns of it early enough to do something
+ * else.
  *
- * One that has just arrived is refused at once when the odds are clearly against it, in a shortage that has lasted longer
- * than it can wait. At better odds it waits, since what waits fills the gaps that come up.
+ * A batch that has just arrived is refused immediately if its chance is clearly too small, in a
+ * shortage that has lasted longer than the batch can wait. With a better chance it waits, since
+ * waiting batches fill the gaps that come up.
  */
-export default function shouldRefuseEarly(prospect: StartPrediction): boolean {
-  const { waitMs, slackMs, shortageMs: lastedMs, isContended, isWaiting } = prospect;
+export default function shouldRefuseEarly(prediction: StartPrediction): boolean {
+  const { waitMs, slackMs, shortageMs, isContended, isWaiting } = prediction;
   if (isWaiting) return isContended && slackMs < 0;
-  return lastedMs > slackMs && waitMs > LONG_ODDS * slackMs;
+  return shortageMs > slackMs && waitMs > MAX_WAIT_PER_SLACK * slackMs;
 }
 
-/** Times as long a line as what is started of it in time: two of three in it are refused later. */
-const LONG_ODDS = 3;
+/**
+ * Predicted wait over slack from which a batch is refused: at this ratio two of three batches in
+ * the backlog are refused later.
+ */
+const MAX_WAIT_PER_SLACK = 3;
--- a/src/batches/standardPolicy.ts
+++ b/src/batches/standardPolicy.ts
@@ -8,7 +8,7 @@
 import urgencyOf from './urgencyOf';
 import isWorthMoving from './isWorthMoving';
 
-/** The decisions that entries make unless others are tried. */
+/** The default decisions. */
 const standardPolicy: BatchPolicy = {
   predictDuration: (durations, queue, estimateMs) => durations.predict(queue, estimateMs),
   estimateSpent: (patience, queue, waitMs) => patience.observe(queue, waitMs),
--- a/src/batches/withReserve.ts
+++ b/src/batches/withReserve.ts
@@ -1,7 +1,7 @@
 import leavesReserve from '../sharing/leavesReserve';
 import type BatchPolicy from './BatchPolicy';
 
-/** Room of each backend server that is kept free for urgent queues. */
+/** Capacity of each backend server that is reserved for urgent queues. */
 interface Reserve {
   /** In thousandths of a core; 0 for none. */
   readonly cpuMilli: number;
@@ -10,8 +10,9 @@
 }
 
 /**
- * A policy under which batches of less urgent queues begin only where the reserve stays free. What has begun is
- * finished, also with the reserve: its answer waits for the last of its tasks.
+ * A policy under which batches of less urgent queues start only where the reserve stays free. A
+ * batch that has started may also use the reserve, because its answer waits for the last of its
+ * tasks.
  */
 export default function withReserve(policy: BatchPolicy, reserve: Reserve): BatchPolicy {
   const { cpuMilli, urgentBelow } = reserve;
@@ -22,8 +23,8 @@
       const { batch, task, peers } = choice;
       const isUrgent = batch.submission.queue.priority < urgentBelow;
       if (isUrgent || batch.startsSent > 0) return policy.choose(choice);
-      const able = [...peers].filter((peer) => leavesReserve(peer, task.step.needs, cpuMilli));
-      return policy.choose({ ...choice, peers: able });
+      const eligible = [...peers].filter((peer) => leavesReserve(peer, task.step.needs, cpuMilli));
+      return policy.choose({ ...choice, peers: eligible });
     },
   };
 }
--- a/test/batches/machineSpeeds.test.ts
+++ b/test/batches/machineSpeeds.test.ts
@@ -69,12 +69,12 @@
 
 /** Where the tasks of a batch go that are ordered in one turn. */
 function placed(one: Batch, peers: readonly SidecarPeer[], remoteFactor?: number): string {
-  const speeds = FleetDurationRatios.create().relativeToMean(peers);
-  const shunned = findOutliers(peers, speeds);
+  const machineRatios = FleetDurationRatios.create().relativeToMean(peers);
+  const ejected = findOutliers(peers, machineRatios);
   let last: SidecarPeer | undefined;
   let ordered = 0;
   const names = [...one.ready].map((task) => {
-    const place = { peers, shunned, speeds, remoteFactor, zone: 'z', now: 0 };
+    const place = { peers, ejected, machineRatios, remoteFactor, zone: 'z', now: 0 };
     const isJoining = last !== undefined && canShareMessage(last, task, ordered);
     const peer = choosePeer({ batch: one, task, ...place, peers: isJoining ? [last!] : peers })!;
     ordered = isJoining ? ordered + 1 : 1;
@@ -126,20 +126,20 @@
     ...machines().slice(0, 2),
     machine({ name: 'slow', times: 1.7, slowness }),
   ];
-  const shunnedOf = (peers: readonly SidecarPeer[]): string[] =>
+  const ejectedOf = (peers: readonly SidecarPeer[]): string[] =>
     [...findOutliers(peers, FleetDurationRatios.create().relativeToMean(peers))].map(
       ({ instance }) => instance,
     );
-  expect([shunnedOf(peersWith(4)), shunnedOf(peersWith(8))]).toEqual([[], ['slow']]);
+  expect([ejectedOf(peersWith(4)), ejectedOf(peersWith(8))]).toEqual([[], ['slow']]);
 });
 
 test('what a task takes on a slow machine teaches what it takes on a middling one', () => {
   const expectations = BatchEstimator.create(standardPolicy);
   const peers = machines();
-  const speeds = FleetDurationRatios.create().relativeToMean(peers);
+  const machineRatios = FleetDurationRatios.create().relativeToMean(peers);
   const one = batch();
   const slow = peers[2]!;
-  const there = durationRatiosOf(one.tasks[0]!, slow, { speeds });
+  const there = durationRatiosOf(one.tasks[0]!, slow, { machineRatios });
   const run = slow.dispatch(one, one.tasks[0]!, there);
   for (let times = 0; times < 200; times += 1) {
     expectations.learn(run, slow, run.dispatchedAt + 300 * there.machine);
--- a/test/batches/policyDecisions.test.ts
+++ b/test/batches/policyDecisions.test.ts
@@ -61,9 +61,9 @@
 
 function chosen(peers: readonly SidecarPeer[], change: Partial<BatchStep> = {}) {
   const one = batch('a', change);
-  const shunned = findOutliers(peers);
+  const ejected = findOutliers(peers);
   const [task] = one.ready;
-  return choosePeer({ batch: one, task: task!, peers, shunned, zone: 'z', now: 0 })?.instance;
+  return choosePeer({ batch: one, task: task!, peers, ejected, zone: 'z', now: 0 })?.instance;
 }
 
 test('the emptiest backend server gets the task', () => {
@@ -91,7 +91,7 @@
   expect(chosen([sidecar({ name: 'a', freeMilli: 5_000 })])).toBeUndefined();
 });
 
-test('slow and failing backend servers are shunned, at most a third of all', () => {
+test('slow and failing backend servers are ejected, at most a third of all', () => {
   const peers = [
     sidecar({ name: 'a' }),
     sidecar({ name: 'b', slowness: 1.4 }),
@@ -110,7 +110,7 @@
   expect(findOutliers(peers).size).toBe(0);
 });
 
-test('a shunned backend server gets single tasks', () => {
+test('an ejected backend server gets single tasks', () => {
   const bad = sidecar({ name: 'bad', slowness: 16 });
   const full = ['a', 'b', 'c'].map((name) => sidecar({ name, freeMilli: 0 }));
   const first = chosen([bad, ...full]);
