--- a/test/batches/BatchEntry.test.ts
+++ b/test/batches/BatchEntry.test.ts
@@ -16,7 +16,7 @@
   expect(caller.answer).toEqual({ kind: 'completed' });
 });
 
-test('tasks for which there is no room wait for it', async () => {
+test('tasks wait while there is no free capacity', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { tasks: 12 });
   await batchCase.timer.advance(150);
@@ -26,7 +26,7 @@
   expect([busiest, early, caller.answer]).toEqual([[4, 4], undefined, { kind: 'completed' }]);
 });
 
-test('a step begins when the steps before it are done', async () => {
+test('a step starts when the steps that it depends on are done', async () => {
   const batchCase = await BatchCase.open();
   batchCase.submit('a', {
     steps: [
@@ -40,7 +40,7 @@
   expect([first, batchCase.running]).toEqual([['a.0.0', 'a.0.1'], ['a.1.0']]);
 });
 
-test('a task that fails is tried elsewhere, and the batch fails after its attempts', async () => {
+test('a failed task is retried elsewhere, and the batch fails after the last attempt', async () => {
   const batchCase = await BatchCase.open({ work: () => ({ ms: 50, fails: true }) });
   const caller = batchCase.submit('a');
   await batchCase.timer.advance(200);
@@ -51,7 +51,7 @@
   ]);
 });
 
-test('the runs of a caller that has gone are stopped at once', async () => {
+test('the runs of a caller that is gone are stopped immediately', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { tasks: 4, ms: 5_000 });
   await batchCase.timer.advance(50);
@@ -60,7 +60,7 @@
   expect(batchCase.running).toEqual([]);
 });
 
-test('a cancelled batch is answered so, and its runs are stopped at once', async () => {
+test('a cancelled batch is answered as cancelled, and its runs are stopped immediately', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { tasks: 4, ms: 5_000 });
   await batchCase.timer.advance(50);
@@ -69,7 +69,7 @@
   expect([caller.answer, batchCase.running]).toEqual([{ kind: 'cancelled' }, []]);
 });
 
-test('the same id again at the same entry gets the same answer', async () => {
+test('a resubmission to the same entry gets the same answer', async () => {
   const batchCase = await BatchCase.open();
   const first = batchCase.submit('a', { ms: 300 });
   await batchCase.timer.advance(100);
@@ -80,14 +80,14 @@
   expect([second.answer, starts.length]).toEqual([{ kind: 'completed' }, 1]);
 });
 
-test('a batch whose time is over is answered at once, and what runs of it is stopped', async () => {
+test('a batch whose caller waits no longer is answered, and its runs are stopped', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { ms: 5_000, waitMs: 400 });
   await batchCase.timer.advance(500);
   expect([caller.answer?.kind, batchCase.running]).toEqual(['unknown', []]);
 });
 
-test('a batch that never started is answered as not run when its time is over', async () => {
+test('a batch that never started is answered as not run at the end of its time', async () => {
   const batchCase = await BatchCase.open();
   batchCase.submit('a', { tasks: 8, ms: 5_000 });
   await batchCase.timer.advance(50);
@@ -96,9 +96,9 @@
   expect(caller.answer).toMatchObject({ kind: 'not-run', retryAfterMs: expect.any(Number) });
 });
 
-test('a task that is larger than every backend server is refused at once', async () => {
+test('a batch is refused immediately if a task is larger than every backend server', async () => {
   const batchCase = await BatchCase.open();
-  // While an entry starts, a larger backend server may be about to come.
+  // During startup, a larger backend server may still be about to link.
   await batchCase.timer.advance(3_000);
   const needs = Resources.of({ cpuMilli: 99_000 });
   const caller = batchCase.submit('a', { steps: [{ ...step, needs }] });
@@ -106,7 +106,7 @@
   expect(caller.answer).toMatchObject({ kind: 'not-run' });
 });
 
-test('runs of a killed entry are over before the caller comes back elsewhere', async () => {
+test('the runs of a killed entry end before its caller may retry elsewhere', async () => {
   const batchCase = await BatchCase.open();
   batchCase.submit('a', { tasks: 4, ms: 2_000 });
   await batchCase.timer.advance(100);
@@ -115,7 +115,7 @@
   expect(batchCase.running).toEqual([]);
 });
 
-test('runs of an entry that is cut off are over before the caller comes back elsewhere', async () => {
+test('the runs of a paused entry end before its caller may retry elsewhere', async () => {
   const batchCase = await BatchCase.open();
   batchCase.submit('a', { tasks: 4, ms: 5_000 });
   await batchCase.timer.advance(100);
@@ -124,7 +124,7 @@
   expect(batchCase.running).toEqual([]);
 });
 
-test('tasks at a killed sidecar run elsewhere once their lease has passed, never twice at a time', async () => {
+test('tasks of a killed sidecar run elsewhere once their lease has expired, never twice at a time', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { tasks: 2, ms: 3_000 });
   await batchCase.timer.advance(100);
@@ -138,7 +138,7 @@
   expect([log.every(Boolean), caller.answer]).toEqual([true, { kind: 'completed' }]);
 });
 
-test('a sidecar that comes back says that nothing of before is left', async () => {
+test('a restarted sidecar reports that no earlier runs are left', async () => {
   const batchCase = await BatchCase.open({ sidecars: 1 });
   const caller = batchCase.submit('a', { ms: 1_000 });
   await batchCase.timer.advance(100);
@@ -149,7 +149,7 @@
   expect(caller.answer).toEqual({ kind: 'completed' });
 });
 
-test('entries tell one another the configuration and where they listen', async () => {
+test('entries exchange the configuration and their addresses', async () => {
   const batchCase = await BatchCase.open({ entries: 2, sidecars: 1 });
   await batchCase.addEntry(2);
   await batchCase.timer.advance(500);
@@ -157,7 +157,7 @@
   expect([third?.table.version, third?.sidecarCount]).toEqual([1, 1]);
 });
 
-test('a sidecar that reaches none of its entries looks others up', async () => {
+test('a sidecar that reaches none of its entries looks up others', async () => {
   const batchCase = await BatchCase.open({ entries: 3, sidecars: 0 });
   batchCase.network.kill('e0');
   batchCase.network.kill('e1');
@@ -167,7 +167,7 @@
   expect(batchCase.entries[2]?.sidecarCount).toBe(1);
 });
 
-test('an older configuration does not displace a newer one', async () => {
+test('an older configuration does not replace a newer one', async () => {
   const batchCase = await BatchCase.open();
   const [entry] = batchCase.entries;
   const { table } = entry!;
@@ -175,7 +175,7 @@
   expect(entry!.table.version).toBe(1);
 });
 
-test('an entry that leaves finishes what it has taken', async () => {
+test('an entry that shuts down finishes its open batches', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { ms: 1_000 });
   await batchCase.timer.advance(50);
@@ -186,7 +186,7 @@
   expect([isReady, caller.answer]).toEqual([false, { kind: 'completed' }]);
 });
 
-test('a sidecar that leaves takes nothing new and lets its runs end', async () => {
+test('a sidecar that shuts down accepts nothing new and lets its runs end', async () => {
   const batchCase = await BatchCase.open();
   const first = batchCase.submit('a', { tasks: 8, ms: 500 });
   await batchCase.timer.advance(50);
@@ -197,7 +197,7 @@
   expect([first.answer, batchCase.backends[0]!.tasks]).toEqual([{ kind: 'completed' }, []]);
 });
 
-test('after a gap in its own time an entry gives up what it had taken', async () => {
+test('after a pause of its process an entry gives up its open batches', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { ms: 5_000 });
   await batchCase.timer.advance(100);
@@ -209,7 +209,7 @@
   ]);
 });
 
-test('a batch that arrives before any sidecar of a starting entry waits for one', async () => {
+test('a batch that arrives at a starting entry before any sidecar waits for one', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 0 });
   const caller = batchCase.submit('a', { ms: 300 });
   await batchCase.timer.advance(200);
@@ -218,17 +218,17 @@
   expect(caller.answer).toEqual({ kind: 'completed' });
 });
 
-test('a batch that waits for a sidecar in vain is refused once it is hopeless', async () => {
+test('a batch without a sidecar is refused once it would expire before it ends', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 0 });
   const caller = batchCase.submit('a', { ms: 100 });
-  // Three times the objective of 250 ms, less the 100 ms of work.
+  // Three times the latency target of 250 ms, less the 100 ms of work.
   await batchCase.timer.advance(640);
   const before = caller.answer;
   await batchCase.timer.advance(80);
   expect([before, caller.answer]).toMatchObject([undefined, { kind: 'not-run' }]);
 });
 
-test('an entry that has been up for long refuses at once what no sidecar can take', async () => {
+test('after its startup phase an entry refuses immediately what no sidecar can run', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 0 });
   await batchCase.timer.advance(3_000);
   const caller = batchCase.submit('a', { ms: 300 });
@@ -236,11 +236,11 @@
   expect(caller.answer).toMatchObject({ kind: 'not-run' });
 });
 
-// A sidecar of a later version may name an outcome that this one has no word for. Its end was taken off the
-// list of runs and then threw ("Cannot read properties of undefined (reading 'toLowerCase')"): the task was
-// never done or tried again, so that its batch stayed open until its caller's time was over, and the other
-// ends of the message were passed over.
-test('a run that ended in a way that is not known here is tried again', async () => {
+// A sidecar of a later version may report an outcome that this version does not know. The run was
+// removed from the list of runs, and then an exception was thrown ("Cannot read properties of
+// undefined (reading 'toLowerCase')"): the task was neither done nor retried, so its batch stayed
+// open until its caller's time was over, and the other ends in the message were skipped.
+test('a task is retried after a run with an unknown outcome', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 0 });
   const link = await batchCase.dialAsSidecar('s0');
   const caller = batchCase.submit('a', { tasks: 2 });
@@ -249,8 +249,8 @@
   const ends = [end(1, 77 as RunOutcome), end(2, RunOutcome.DONE)];
   link.send({ case: 'runsEnded', value: create(RunsEndedSchema, { ends }) });
   await batchCase.timer.advance(20);
-  const again = create(RunsEndedSchema, { ends: [end(3, RunOutcome.DONE)] });
-  link.send({ case: 'runsEnded', value: again });
+  const secondReport = create(RunsEndedSchema, { ends: [end(3, RunOutcome.DONE)] });
+  link.send({ case: 'runsEnded', value: secondReport });
   await batchCase.timer.advance(20);
   expect(caller.answer).toEqual({ kind: 'completed' });
 });
--- a/test/batches/CapacitySearch.test.ts
+++ b/test/batches/CapacitySearch.test.ts
@@ -22,8 +22,11 @@
   }));
 }
 
-/** Asks for what waits at a time, and notes who has been asked, as the sidecars do. */
-function askers(all: readonly Sidecar[]) {
+/**
+ * Returns a function that searches for capacity at a time, and marks the notified sidecars as they
+ * do themselves.
+ */
+function searcher(all: readonly Sidecar[]) {
   const search = CapacitySearch.create();
   return (now: number, needs: Resources | undefined = small): readonly string[] => {
     const head: BacklogHead = { needs, urgency: { rank: 0, slackMs: 0 } };
@@ -36,17 +39,17 @@
   };
 }
 
-test('more are asked the longer the line stands, those asked before among them', () => {
-  const ask = askers(sidecars(20));
-  const counts = [0, 39, 40, 80, 400].map((now) => ask(now).length);
+test('more sidecars are notified the longer the backlog lasts, including the earlier ones', () => {
+  const select = searcher(sidecars(20));
+  const counts = [0, 39, 40, 80, 400].map((now) => select(now).length);
   expect(counts).toEqual([4, 4, 8, 16, 20]);
 });
 
-test('the next line asks others first', () => {
-  const ask = askers(sidecars(9));
-  const first = ask(0);
-  const none = ask(10, Resources.none);
-  expect([first, none, ask(20), ask(30, Resources.none), ask(40)]).toEqual([
+test('the next backlog starts with other sidecars', () => {
+  const select = searcher(sidecars(9));
+  const first = select(0);
+  const none = select(10, Resources.none);
+  expect([first, none, select(20), select(30, Resources.none), select(40)]).toEqual([
     ['s0', 's1', 's2', 's3'],
     [],
     ['s4', 's5', 's6', 's7'],
@@ -55,8 +58,8 @@
   ]);
 });
 
-test('only those are asked that could ever take what waits', () => {
+test('only sidecars that could ever run the waiting task are notified', () => {
   const large = Resources.of({ cpuMilli: 9_000 });
   const unfit = [...sidecars(3, { service: 'b' }), ...sidecars(3, { isUsable: false })];
-  expect([askers(unfit)(0), askers(sidecars(3))(0, large)]).toEqual([[], []]);
+  expect([searcher(unfit)(0), searcher(sidecars(3))(0, large)]).toEqual([[], []]);
 });
--- a/test/batches/DemandUpdates.test.ts
+++ b/test/batches/DemandUpdates.test.ts
@@ -9,39 +9,39 @@
   return { needs, urgency: { rank, slackMs } };
 }
 
-/** Tells of a head at 0 ms; then whether another is told by itself at a time. */
-function toldAfter(first: BacklogHead, second: BacklogHead | undefined, atMs: number): boolean {
-  const news = DemandUpdates.create();
-  news.next(first, false, 0);
-  return news.next(second, false, atMs) !== undefined;
+/** Sends a head at 0 ms; returns whether another one is sent on its own at the given time. */
+function isSentAfter(first: BacklogHead, second: BacklogHead | undefined, atMs: number): boolean {
+  const updates = DemandUpdates.create();
+  updates.next(first, false, 0);
+  return updates.next(second, false, atMs) !== undefined;
 }
 
-test('the first head is told at once, and that nothing waits any more', () => {
-  const news = DemandUpdates.create();
-  const first = news.next(headOf(1, 50), false, 0);
-  const none = news.next(undefined, false, 1);
-  expect([first?.waiting, none?.waiting, news.hasDemand]).toEqual([true, false, false]);
+test('the first head and the end of demand are sent immediately', () => {
+  const updates = DemandUpdates.create();
+  const first = updates.next(headOf(1, 50), false, 0);
+  const none = updates.next(undefined, false, 1);
+  expect([first?.waiting, none?.waiting, updates.hasDemand]).toEqual([true, false, false]);
 });
 
-test('a more urgent head is told soon, a less urgent one later', () => {
-  const urgent = [19, 20].map((atMs) => toldAfter(headOf(5, 50), headOf(1, 50), atMs));
-  const relaxed = [39, 40].map((atMs) => toldAfter(headOf(1, 50), headOf(5, 50), atMs));
+test('a more urgent head is sent soon, a less urgent one later', () => {
+  const urgent = [19, 20].map((atMs) => isSentAfter(headOf(5, 50), headOf(1, 50), atMs));
+  const relaxed = [39, 40].map((atMs) => isSentAfter(headOf(1, 50), headOf(5, 50), atMs));
   expect([urgent, relaxed]).toEqual([
     [false, true],
     [false, true],
   ]);
 });
 
-test('a head that has to start at about the same time is no news', () => {
+test('a head that has to start at about the same time is not sent', () => {
   const slack = [-41, -40, 40, 41].map((byMs) =>
-    toldAfter(headOf(1, 500), headOf(1, 400 + byMs), 100),
+    isSentAfter(headOf(1, 500), headOf(1, 400 + byMs), 100),
   );
   expect(slack).toEqual([true, false, false, true]);
 });
 
-test('with an order the head is always told, while something waits', () => {
-  const news = DemandUpdates.create();
-  const quiet = news.next(undefined, true, 0);
-  news.next(headOf(1, 50), false, 1);
-  expect([quiet, news.next(headOf(1, 49), true, 2)?.slackMs]).toEqual([undefined, 49]);
+test('with a start request the head is always sent while tasks are waiting', () => {
+  const updates = DemandUpdates.create();
+  const nothing = updates.next(undefined, true, 0);
+  updates.next(headOf(1, 50), false, 1);
+  expect([nothing, updates.next(headOf(1, 49), true, 2)?.slackMs]).toEqual([undefined, 49]);
 });
--- a/test/batches/DurationModel.test.ts
+++ b/test/batches/DurationModel.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
 import DurationModel from '../../src/batches/DurationModel';
 
-/** Shows the model pairs of an estimate and the time taken, again and again. */
-function taught(pairs: readonly (readonly [number, number])[], times = 100): DurationModel {
+/** A model that has repeatedly learned from pairs of an estimate and an actual duration. */
+function trainedModel(pairs: readonly (readonly [number, number])[], times = 100): DurationModel {
   const model = DurationModel.create();
   for (let round = 0; round < times; round += 1) {
     pairs.forEach(([estimateMs, tookMs]) => model.learn('q', estimateMs, tookMs));
@@ -10,38 +10,38 @@
   return model;
 }
 
-test('before anything is known an estimate is taken as it comes', () => {
+test('without any history an estimate is taken as it is', () => {
   expect(DurationModel.create().predict('q', 250)).toBe(250);
 });
 
-test('a batch without an estimate is expected to take nothing', () => {
-  expect(taught([[100, 200]]).predict('q', 0)).toBe(0);
+test('a task without an estimate has no expected duration', () => {
+  expect(trainedModel([[100, 200]]).predict('q', 0)).toBe(0);
 });
 
 test('estimates that are wrong by the same factor are corrected by it', () => {
-  const model = taught([
+  const model = trainedModel([
     [100, 200],
     [400, 800],
   ]);
   expect([100, 400].map((estimateMs) => model.predict('q', estimateMs))).toEqual([190, 760]);
 });
 
-test('estimates that say nothing give way to the time that tasks take', () => {
-  const model = taught([
+test('estimates without information are replaced by the average duration', () => {
+  const model = trainedModel([
     [50, 200],
     [800, 200],
   ]);
   expect([50, 800].map((estimateMs) => model.predict('q', estimateMs))).toEqual([198, 202]);
 });
 
-test('a queue that was not seen learns nothing from others', () => {
-  expect(taught([[100, 800]]).predict('other', 100)).toBe(100);
+test('an unknown queue learns nothing from others', () => {
+  expect(trainedModel([[100, 800]]).predict('other', 100)).toBe(100);
 });
 
-test('a task or two change little', () => {
-  expect(taught([[100, 800]], 1).predict('q', 100)).toBeLessThan(130);
+test('one or two tasks change little', () => {
+  expect(trainedModel([[100, 800]], 1).predict('q', 100)).toBeLessThan(130);
 });
 
-test('no estimate is corrected by more than eight times', () => {
-  expect(taught([[10, 10_000]]).predict('q', 10)).toBe(80);
+test('no estimate is corrected by more than a factor of eight', () => {
+  expect(trainedModel([[10, 10_000]]).predict('q', 10)).toBe(80);
 });
--- a/test/batches/LoadShedder.test.ts
+++ b/test/batches/LoadShedder.test.ts
@@ -3,20 +3,22 @@
 import withEarlyRefusal from '../../src/batches/withEarlyRefusal';
 import BatchCase from '../support/BatchCase';
 
-/** A batch that takes 100 ms and is late when it has not begun after as long again. */
+/** A batch that takes 100 ms and is late if it has not started after as long again. */
 const brief = { queue: { priority: 1, stretch: 2, targetLatencyMs: 0 } };
 
-/** One that is in time for as long as any test goes on. */
+/** A batch that can meet its target for as long as any test runs. */
 const patient = { queue: { priority: 0, stretch: 2, targetLatencyMs: 20_000 }, ms: 5_000 };
 
-/** Entries that count as starting no longer, since it is not known before what can be served. */
+/**
+ * Opens entries past their startup phase, since before its end it is not known what can be served.
+ */
 async function open(entries = 1): Promise<BatchCase> {
   const batchCase = await BatchCase.open({ entries, policy: withEarlyRefusal(standardPolicy) });
   await batchCase.timer.advance(3_000);
   return batchCase;
 }
 
-/** Fills both backend servers, and has one batch in line that can still be served in time. */
+/** Fills both backend servers, and adds one batch to the backlog that can still meet its target. */
 async function fill(batchCase: BatchCase): Promise<void> {
   batchCase.submit('running', { ...patient, tasks: 8 });
   await batchCase.timer.advance(1_000);
@@ -24,9 +26,10 @@
   await batchCase.timer.advance(5);
 }
 
-// In a replay at 130% of the room callers were refused after 1,050 ms in the middle, by when their answer would
-// have been of no use, and the late took the room of those who came after the shortage for a second and more.
-test('what waits is refused when it is late and others are not, with a time to come back', async () => {
+// In a replay at 130% of the capacity, callers were refused after a median of 1,050 ms, by when
+// their answer would have had no value, and for more than a second late batches used the capacity
+// of those that arrived after the shortage.
+test('a late batch in the backlog is refused if others are not late, with a retry delay', async () => {
   const batchCase = await open();
   await fill(batchCase);
   const late = batchCase.submit('late', brief);
@@ -45,7 +48,7 @@
   `);
 });
 
-test('what is late is served when nobody waits who is not', async () => {
+test('late batches are served while only late ones are waiting', async () => {
   const batchCase = await open();
   batchCase.submit('running', { ...patient, ms: 250, tasks: 8 });
   await batchCase.timer.advance(1);
@@ -54,7 +57,7 @@
   expect(late.map(({ answer }) => answer?.kind)).toEqual(['completed', 'completed']);
 });
 
-test('what has begun is finished, also when it is late and others are not', async () => {
+test('a started batch is finished even if it is late and others are not', async () => {
   const batchCase = await open();
   batchCase.submit('running', { ...patient, tasks: 7 });
   await batchCase.timer.advance(1);
@@ -65,7 +68,7 @@
   expect(begun.answer?.kind).toBe('completed');
 });
 
-test('a queue that promises no time refuses nobody early', async () => {
+test('a queue without a latency target sheds nothing', async () => {
   const batchCase = await open();
   await fill(batchCase);
   const queue = { priority: 1, stretch: 0, targetLatencyMs: 0 };
@@ -74,7 +77,7 @@
   expect(batch.answer).toBeUndefined();
 });
 
-test('in a shortage that lasts, what has no chance is refused when it arrives', async () => {
+test('in a lasting shortage a batch without a chance is refused on arrival', async () => {
   const batchCase = await open();
   await fill(batchCase);
   const early = ['a', 'b'].map((id) => batchCase.submit(id, brief));
--- a/test/batches/attributeCrashes.test.ts
+++ b/test/batches/attributeCrashes.test.ts
@@ -4,7 +4,10 @@
 import type CrashedRun from '../../src/batches/CrashedRun';
 import attributeCrashes from '../../src/batches/attributeCrashes';
 
-/** Which batches of runs written as "SIDECAR BATCH", with "again" where the task was at a crash before, are excused. */
+/**
+ * The excused runs among those written as "SIDECAR BATCH", with "again" if the task was at an
+ * earlier crash.
+ */
 function excusedOf(...written: readonly string[]): readonly string[] {
   const names = [...new Set(written.map((run) => run.split(' ')[1]!))];
   const batches = new Map(names.map((id) => [id, { id } as Batch]));
@@ -20,24 +23,24 @@
 test.each([
   ['a crash of one backend server', ['s1 a', 's1 b'], []],
   ['two backend servers, which two tasks may have crashed', ['s1 a', 's2 b', 's2 c'], []],
-  ['three at once', ['s1 a', 's1 b', 's2 c', 's3 d'], ['s1 a', 's1 b', 's2 c', 's3 d']],
+  ['three at the same time', ['s1 a', 's1 b', 's2 c', 's3 d'], ['s1 a', 's1 b', 's2 c', 's3 d']],
   ['attempts of one task', ['s1 p', 's1 a', 's2 p again', 's2 b', 's3 p again', 's3 c'], []],
   ['attempts of two tasks', ['s1 p', 's2 q', 's2 a', 's3 p again', 's3 b', 's4 q again'], []],
   [
-    'a task that was at a crash before',
+    'a task that was at an earlier crash',
     ['s1 a', 's2 b', 's3 c', 's3 d', 's4 q again'],
     ['s1 a', 's2 b', 's3 c', 's3 d'],
   ],
   [
-    'a batch of which each task crashes one',
+    'a batch of which each task crashes one backend server',
     ['s1 p', 's2 p', 's2 a', 's3 p', 's3 b'],
     ['s2 a', 's3 b'],
   ],
   [
-    'such a batch among a loss of power',
+    'such a batch during a power loss',
     ['s1 a', 's1 p', 's2 b', 's3 c', 's4 p', 's4 d'],
     ['s1 a', 's2 b', 's3 c', 's4 d'],
   ],
-])('who is excused by %s', (_what, runs, excused) => {
+])('runs excused after %s', (_what, runs, excused) => {
   expect(excusedOf(...runs)).toEqual(excused);
 });
--- a/test/batches/cancelledIds.test.ts
+++ b/test/batches/cancelledIds.test.ts
@@ -1,25 +1,26 @@
 import { expect, test } from 'vitest';
 import BatchCase from '../support/BatchCase';
 
-// A copy of a submission may come seconds after the answer to the first, at any entry. After its caller had
-// cancelled the batch, the copy was accepted and ran from the start, for nobody.
-test('a batch that its caller has cancelled does not run when it is submitted again', async () => {
+// A duplicate of a submission may arrive seconds after the answer to the first, at any entry. After
+// its caller had cancelled the batch, the duplicate was accepted and ran from the start, for
+// nobody.
+test('a cancelled batch does not run when a duplicate submission arrives', async () => {
   const batchCase = await BatchCase.open();
   batchCase.submit('a', { tasks: 2, ms: 5_000 });
   await batchCase.timer.advance(50);
   batchCase.entries[0]!.cancel('a');
   await batchCase.timer.advance(60);
-  const copies = [0, 1].map((entry) => batchCase.submit('a', { entry, tasks: 2, ms: 5_000 }));
+  const duplicates = [0, 1].map((entry) => batchCase.submit('a', { entry, tasks: 2, ms: 5_000 }));
   await batchCase.timer.advance(100);
-  expect([copies.map(({ answer }) => answer?.kind), batchCase.running]).toEqual([
+  expect([duplicates.map(({ answer }) => answer?.kind), batchCase.running]).toEqual([
     ['cancelled', 'cancelled'],
     [],
   ]);
 });
 
-// Callers' requests are spread over the entries, the one that cancels as well: it came to an entry that did
-// not know the batch, was answered so, and the batch ran on at the other one.
-test('a batch is cancelled at whichever entry its caller asks for it', async () => {
+// Callers' requests are spread over the entries, including cancellations: one reached an entry that
+// did not know the batch, which answered so, and the batch kept running at the other entry.
+test('a batch can be cancelled at any entry', async () => {
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { entry: 0, tasks: 2, ms: 5_000 });
   await batchCase.timer.advance(50);
@@ -28,7 +29,7 @@
   expect([caller.answer, batchCase.running]).toEqual([{ kind: 'cancelled' }, []]);
 });
 
-test('a cancelled id is free again when no copy of its submission is to be expected', async () => {
+test('a cancelled id can be used again once no duplicate is to be expected', async () => {
   const batchCase = await BatchCase.open();
   batchCase.entries[0]!.cancel('a');
   await batchCase.timer.advance(120_000);
@@ -37,7 +38,7 @@
   expect(caller.answer).toEqual({ kind: 'completed' });
 });
 
-test('a batch that was cancelled while its entry was cut off from the others ends once it is linked again', async () => {
+test('a batch that was cancelled while its entry was partitioned from the others ends once it is linked again', async () => {
   const batchCase = await BatchCase.open();
   const { network, timer, entries } = batchCase;
   batchCase.configure(1, 1);
@@ -51,7 +52,7 @@
   expect([caller.answer, batchCase.running]).toEqual([{ kind: 'cancelled' }, []]);
 });
 
-test('a copy of a cancelled batch does not run at an entry that has started since', async () => {
+test('a duplicate of a cancelled batch does not run at an entry that has started since', async () => {
   const batchCase = await BatchCase.open();
   const { network, timer, entries } = batchCase;
   batchCase.configure(1, 1);
@@ -60,7 +61,7 @@
   await batchCase.addEntry(0);
   batchCase.configure(1, 0);
   await timer.advance(1_000);
-  const copy = batchCase.submit('a', { ms: 8_000 });
+  const duplicate = batchCase.submit('a', { ms: 8_000 });
   await timer.advance(50);
-  expect([copy.answer, batchCase.running]).toEqual([{ kind: 'cancelled' }, []]);
+  expect([duplicate.answer, batchCase.running]).toEqual([{ kind: 'cancelled' }, []]);
 });
--- a/test/batches/capacityOffers.test.ts
+++ b/test/batches/capacityOffers.test.ts
@@ -9,16 +9,16 @@
 import BatchCase from '../support/BatchCase';
 import ManualTimer from '../support/ManualTimer';
 
-const room = toAmount(Resources.of({ cpuMilli: 16_000, memoryMb: 1_024 }));
+const capacity = toAmount(Resources.of({ cpuMilli: 16_000, memoryMb: 1_024 }));
 
 function sidecar() {
   const timer = ManualTimer.create();
   const link = { closed: new AbortController().signal, lastReceivedAt: 0, send: () => undefined };
   const peer = SidecarPeer.of(link as unknown as Link, timer);
-  const told = { service: 's', accepting: true, total: room, free: room };
+  const status = { service: 's', accepting: true, total: capacity, free: capacity };
   const offer = (newestOrder = 0) =>
-    peer.handleRoom(create(RoomSchema, { ...told, inTurns: true, newestOrder }));
-  const order = (): void => {
+    peer.handleRoom(create(RoomSchema, { ...status, inTurns: true, newestOrder }));
+  const dispatch = (): void => {
     const queue = { name: 'q', host: 'h', prefix: '/', service: 's', maxAttempts: 2, timeoutMs: 0 };
     const step = { count: 1, estimateMs: 300, after: [], label: '', preferredLabel: '' };
     const needs = Resources.of({ cpuMilli: 4_000 });
@@ -33,10 +33,10 @@
     peer.dispatch(batch, batch.ready[0]!);
     peer.flush(undefined);
   };
-  return { timer, peer, offer, order };
+  return { timer, peer, offer, dispatch };
 }
 
-test('an offer is dropped when it is too old to be used in time', async () => {
+test('an offer expires when it is too old to be used in time', async () => {
   const { timer, peer, offer } = sidecar();
   offer();
   await timer.advance(3);
@@ -45,18 +45,19 @@
   expect([young, peer.free.cpuMilli]).toEqual([16_000, 0]);
 });
 
-// Orders that wait behind others on a full link were followed by further ones for the same room, which were refused.
-test('an offer that does not know of the newest order is passed over', () => {
-  const { peer, offer, order } = sidecar();
+// Start requests that were queued on a busy link were followed by further ones for the same free
+// capacity, which were refused.
+test('an offer that does not account for the latest start request is ignored', () => {
+  const { peer, offer, dispatch } = sidecar();
   offer();
-  order();
+  dispatch();
   offer(0);
   const before = peer.free.cpuMilli;
   offer(1);
   expect([before, peer.free.cpuMilli]).toEqual([0, 16_000]);
 });
 
-test('up to four tasks of a batch go in one order', async () => {
+test('up to four tasks of a batch share a message', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 4 });
   batchCase.network.resetCounts();
   batchCase.submit('a', { tasks: 6 });
@@ -64,7 +65,7 @@
   expect([batchCase.network.messageCounts().startRuns, batchCase.running.length]).toEqual([2, 6]);
 });
 
-test('what has to be apart is not ordered together', async () => {
+test('tasks that must be apart do not share a message', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 4 });
   batchCase.network.resetCounts();
   const step = { ...batchCase.stepOf(4, 100), mostTogether: 1 };
@@ -80,9 +81,10 @@
   return batchCase;
 }
 
-// An entry could believe in room for two of the smaller tasks where there was none, and had 5.6% of its orders refused
-// where all room was asked for (`npm run replay`, uneven without links, load 2.1, seed 8).
-test('of the last room an entry knows exactly', async () => {
+// An entry could assume capacity for two of the smaller tasks where there was none, and 5.6% of its
+// starts were refused when demand exceeded all capacity (`npm run replay`, uneven without links,
+// load 2.1, seed 8).
+test('an entry knows exactly the last free capacity of a backend server', async () => {
   const batchCase = await sidecarWithTwo();
   const step = batchCase.stepOf(1, 500);
   const needs = Resources.of({ cpuMilli: 2_500, memoryMb: 64 });
--- a/test/batches/changingCapacity.test.ts
+++ b/test/batches/changingCapacity.test.ts
@@ -2,17 +2,17 @@
 import Resources from '../../src/room/Resources';
 import BatchCase from '../support/BatchCase';
 
-/** The room of so many tasks. */
-function roomOf(tasks: number): Resources {
+/** The capacity for this many tasks. */
+function capacityOf(tasks: number): Resources {
   return Resources.of({ cpuMilli: tasks * 4_000, memoryMb: 4_096 });
 }
 
 function shrinkTo(batchCase: BatchCase, tasks: number): void {
-  const capacity = roomOf(tasks);
+  const capacity = capacityOf(tasks);
   batchCase.sidecars[0]!.handleHeartbeat(batchCase.backends[0]!.report({ capacity }));
 }
 
-test('entries use room that has grown while tasks run', async () => {
+test('entries use capacity that has grown while tasks run', async () => {
   const batchCase = await BatchCase.open({ sidecars: 1 });
   shrinkTo(batchCase, 1);
   await batchCase.timer.advance(50);
@@ -24,7 +24,7 @@
   expect([before, batchCase.running.length]).toEqual([1, 4]);
 });
 
-test('entries do not order what has no place any more', async () => {
+test('entries dispatch no tasks for which there is no capacity any more', async () => {
   const batchCase = await BatchCase.open({ sidecars: 1 });
   batchCase.submit('a', { tasks: 4, ms: 200 });
   await batchCase.timer.advance(50);
@@ -35,7 +35,7 @@
   expect([starts.length, tasks.length]).toEqual([12, 2]);
 });
 
-test('a task larger than what has shrunk is refused at once', async () => {
+test('a batch is refused immediately if its task is larger than the reduced capacity', async () => {
   const batchCase = await BatchCase.open({ sidecars: 1 });
   await batchCase.timer.advance(3_000);
   batchCase.sidecars[0]!.handleHeartbeat(
--- a/test/batches/claimRetention.test.ts
+++ b/test/batches/claimRetention.test.ts
@@ -5,7 +5,8 @@
 import { BatchHolderSchema } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import ManualTimer from '../support/ManualTimer';
 
-// The claim of a batch that waited long was forgotten as the oldest, while most of the others were over.
+// The claim of a batch that waited long was evicted as the oldest one, although most of the others
+// had ended.
 test('the claim of a batch with a long wait is kept while those of many short ones come and go', async () => {
   const timer = ManualTimer.create();
   const register = ClaimRegistry.create(timer, () => false);
--- a/test/batches/claimsOfEntryIsolatedAtStart.test.ts
+++ b/test/batches/claimsOfEntryIsolatedAtStart.test.ts
@@ -1,8 +1,9 @@
 import { expect, test } from 'vitest';
 import BatchCase from '../support/BatchCase';
 
-// An entry that had never been linked to the others took itself for the only one after a second.
-test('a task does not run twice at once when an entry starts that only sidecars can reach', async () => {
+// An entry that had never been linked to the others presumed after a second that it was the only
+// one.
+test('a task does not run twice at the same time when an entry starts that only sidecars can reach', async () => {
   const batchCase = await BatchCase.open({ entries: 3 });
   batchCase.network.kill('e2');
   ['e0', 'e1'].forEach((other) => batchCase.network.partition('e2', other));
--- a/test/batches/claimsOfIsolatedEntry.test.ts
+++ b/test/batches/claimsOfIsolatedEntry.test.ts
@@ -1,8 +1,9 @@
 import { expect, test } from 'vitest';
 import BatchCase from '../support/BatchCase';
 
-// An entry that was cut off from everything went on, when it was back, with a batch that another had taken over.
-test('a task does not run twice at once when its entry is cut off and comes back', async () => {
+// An entry that was isolated from everything resumed a batch, when it was back, that another entry
+// had taken over.
+test('a task does not run twice at the same time when its entry is paused and resumes', async () => {
   const batchCase = await BatchCase.open({ entries: 3, sidecars: 6 });
   batchCase.submit('x', { entry: 0, tasks: 2, ms: 3_000 });
   await batchCase.timer.advance(100);
--- a/test/batches/claimsWhenEntryJoins.test.ts
+++ b/test/batches/claimsWhenEntryJoins.test.ts
@@ -3,8 +3,9 @@
 
 const IDS = Array.from({ length: 8 }, (_, number) => `x${number}`);
 
-// An entry gave its batch up as taken over when one that joined had noted the claim of another that only waited for it.
-test('a batch that another entry waits for goes on when a third entry joins', async () => {
+// An entry gave up its batch as taken over when an entry that joined had recorded the claim of
+// another one that only waited for it.
+test('a batch that another entry waits for continues when a third entry joins', async () => {
   const batchCase = await BatchCase.open({ entries: 6, sidecars: 4 });
   const first = IDS.map((id) => batchCase.submit(id, { entry: 0, ms: 1_000 }));
   await batchCase.timer.advance(50);
--- a/test/batches/claimsWithOlderVersions.test.ts
+++ b/test/batches/claimsWithOlderVersions.test.ts
@@ -2,8 +2,9 @@
 import { Role } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import BatchCase from '../support/BatchCase';
 
-// Entries of a version that does not answer claims counted as registrars, so the first ones of the next version refused all batches.
-test('a batch is served at once by an entry beside others of a version without claims', async () => {
+// Entries of a version that does not answer claims counted as registrars, so the first entries of
+// the next version refused all batches.
+test('an entry among others of a version without claims serves a batch immediately', async () => {
   const batchCase = await BatchCase.open({ entries: 1 });
   await batchCase.dial('e7', Role.ENTRY);
   await batchCase.dial('e8', Role.ENTRY);
--- a/test/batches/configurationFromPeers.test.ts
+++ b/test/batches/configurationFromPeers.test.ts
@@ -6,7 +6,7 @@
 
 const limits = { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 };
 
-/** The version in force in an entry after another entry has told it each of these texts. */
+/** The active version of an entry after it has received each of these texts from another entry. */
 async function versionAfter(...texts: readonly string[]): Promise<number> {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 0 });
   const { timer, entries } = batchCase;
@@ -19,24 +19,25 @@
   return entries[0]!.table.version;
 }
 
-// A configuration is passed on from entry to entry, so all of them meet the same text. One without limits
-// was put in force, and from then on every request at every entry broke off ("Cannot read properties of
-// undefined (reading 'idleMs')"); it also shut out each older whole version. A negative idle time ended the
-// process with the first answer ("The value of msecs is out of range").
-test('a configuration that is not whole is not taken from another entry', async () => {
-  const whole = JSON.stringify({ version: 4, queues: [], limits });
-  const broken = [
+// Entries forward the configuration to each other, so all of them get the same text. One without
+// limits was activated, and from then on every request at every entry failed ("Cannot read
+// properties of undefined (reading 'idleMs')"); it also prevented older valid versions from being
+// accepted. A negative idle time ended the process with the first answer ("The value of msecs is
+// out of range").
+test('an invalid configuration is not accepted from another entry', async () => {
+  const valid = JSON.stringify({ version: 4, queues: [], limits });
+  const invalid = [
     { version: 9, queues: [] },
     { version: 9, queues: [{ name: 'q', host: 'h' }], limits },
     { version: 9.5, queues: [], limits },
     { version: 9, queues: [], limits: { ...limits, idleMs: -2_000 } },
   ];
-  const texts = broken.map((table) => JSON.stringify(table));
-  expect(await versionAfter(...texts, 'no JSON', whole)).toBe(4);
+  const texts = invalid.map((table) => JSON.stringify(table));
+  expect(await versionAfter(...texts, 'no JSON', valid)).toBe(4);
 });
 
-// Every entry tells every change, so each text comes some times over.
-test('a configuration that is not newer than the one in force is not read again', async () => {
+// Every entry forwards every change, so each text arrives several times.
+test('a configuration that is not newer than the active one is not parsed', async () => {
   const texts = [
     JSON.stringify({ version: 9, queues: [], limits }),
     JSON.stringify({ version: 12, queues: [], limits }),
@@ -44,9 +45,9 @@
   expect(await versionAfter(...texts)).toBe(9);
 });
 
-// Links between entries carry a version as a whole number of 64 bits: a greater one ended each link that
-// it was told over, as often as it was dialled again.
-test('a version that links cannot carry is refused', () => {
+// Messages between entries carry a version as an integer of 64 bits: a greater one ended each link
+// over which it was sent, as often as it was dialled again.
+test('a version that does not fit into a message is refused', () => {
   const read = readConfiguration(JSON.stringify({ version: 1e300, routes: [] }));
   expect(read.isErr() && read.error).toBe('version: must be <= 9007199254740991');
 });
--- a/test/batches/correlatedCrashes.test.ts
+++ b/test/batches/correlatedCrashes.test.ts
@@ -1,14 +1,18 @@
 import { expect, test } from 'vitest';
 import BatchCase from '../support/BatchCase';
 
-// When a rack lost power, all that ran there was suspected of the crashes and kept apart, one task a backend server:
-// each backend server that was left took one of them in place of what it had room for, and callers of the rest waited.
+// When a rack lost power, all tasks that ran there were suspected of the crashes and kept apart,
+// one task per backend server: each remaining backend server accepted one of them instead of as
+// many as it had capacity for, and the callers of the rest waited.
 
-/** Batches whose name begins with "p" crash what starts them; the others take as long as they say. */
-function open(sidecars: number, reborn = false): Promise<BatchCase> {
+/**
+ * Tasks of batches whose id starts with "p" crash their backend server; the others take as long as
+ * their spec says.
+ */
+function open(sidecars: number, restartsBackends = false): Promise<BatchCase> {
   return BatchCase.open({
     sidecars,
-    restartsBackends: reborn,
+    restartsBackends,
     work: ({ batch }, spec) => ({
       ms: batch.startsWith('p') ? 20 : Number(spec),
       fails: false,
@@ -17,12 +21,12 @@
   });
 }
 
-/** The last backend servers lose power. */
+/** Crashes the last `count` backend servers. */
 function losePower({ backends }: BatchCase, count: number): void {
   backends.slice(-count).forEach((backend) => backend.crash());
 }
 
-test('what ran where a rack loses power is started side by side', async () => {
+test('tasks of a rack that loses power are restarted side by side', async () => {
   const batchCase = await open(8);
   const callers = [...Array(16).keys()].map((one) => batchCase.submit(`a${one}`, { ms: 900 }));
   await batchCase.timer.advance(50);
@@ -40,7 +44,7 @@
   expect(callers.filter(({ answer }) => answer).length).toBe(2);
 });
 
-test('a task that was excused and crashes the next backend server is given up at the third', async () => {
+test('an excused task that crashes the next backend server fails at the third crash', async () => {
   const batchCase = await open(9);
   const beside = [...Array(8).keys()].map((one) => batchCase.submit(`a${one}`, { ms: 900 }));
   await batchCase.timer.advance(10);
@@ -52,7 +56,7 @@
   expect(beside.map(({ answer }) => answer?.kind)).toEqual(Array(8).fill('completed'));
 });
 
-test('a batch of tasks that crash what starts them is found among a loss of power', async () => {
+test('a batch of crashing tasks is detected in spite of a power loss at the same time', async () => {
   const batchCase = await open(12, true);
   const beside = [...Array(12).keys()].map((one) => batchCase.submit(`a${one}`, { ms: 900 }));
   const crashing = batchCase.submit('p', { tasks: 8, waitMs: 30_000 });
--- a/test/batches/crashingTasks.test.ts
+++ b/test/batches/crashingTasks.test.ts
@@ -3,17 +3,21 @@
 import exceedsCrashLimit from '../../src/batches/exceedsCrashLimit';
 import BatchCase from '../support/BatchCase';
 
-// A task may crash the backend server that starts it. A run lost with its backend server counted for nothing, so
-// the task was started at one after the other until its caller gave up, and all that ran beside it was lost.
+// A task may crash the backend server that starts it. A run that was lost with its backend server
+// did not count, so the task was started on one backend server after the other until its caller
+// gave up, and all runs beside it were lost.
 
-/** Crashes under one task at most: after the third it may be started less than three times. */
-const MOST_CRASHES = 5;
+/** Most crashes under one task: after the third it may be started less than three times. */
+const MAX_CRASHES = 5;
 
-/** Batches whose name begins with "p" crash what starts them; the others take as long as they say. */
-function open(sidecars: number, reborn = true): Promise<BatchCase> {
+/**
+ * Tasks of batches whose id starts with "p" crash their backend server; the others take as long as
+ * their spec says.
+ */
+function open(sidecars: number, restartsBackends = true): Promise<BatchCase> {
   return BatchCase.open({
     sidecars,
-    restartsBackends: reborn,
+    restartsBackends,
     work: ({ batch }, spec) => ({
       ms: batch.startsWith('p') ? 20 : Number(spec),
       fails: false,
@@ -22,7 +26,7 @@
   });
 }
 
-test('a task that crashes what starts it is given up after three crashes', async () => {
+test('a task that crashes its backend servers fails after three crashes', async () => {
   const batchCase = await open(6);
   const caller = batchCase.submit('p');
   await batchCase.timer.advance(5_000);
@@ -32,7 +36,7 @@
   ]);
 });
 
-test('what ran beside it is completed, however often it was there', async () => {
+test('tasks that run beside a crashing one are completed, however often they lose a run', async () => {
   const batchCase = await open(6);
   const beside = [...Array(6).keys()].map((one) =>
     batchCase.submit(`a${one}`, { tasks: 3, ms: 600 }),
@@ -44,10 +48,10 @@
     Array(3).fill('failed'),
     Array(6).fill('completed'),
   ]);
-  expect(batchCase.crashes).toBeLessThanOrEqual(3 * MOST_CRASHES);
+  expect(batchCase.crashes).toBeLessThanOrEqual(3 * MAX_CRASHES);
 });
 
-test('a batch that is submitted again does not begin anew with crashing backend servers', async () => {
+test('the crashes of a batch still count after a resubmission', async () => {
   const batchCase = await open(6);
   const first = batchCase.submit('p');
   await batchCase.timer.advance(100);
@@ -58,7 +62,7 @@
   expect([second.answer?.kind, batchCase.crashes]).toEqual(['failed', 3]);
 });
 
-test('runs on a backend server that crashes again and again are not blamed for it', async () => {
+test('runs on a backend server that crashes repeatedly are not blamed for it', async () => {
   const batchCase = await open(1);
   const caller = batchCase.submit('a', { ms: 4_000, waitMs: 30_000 });
   for (let crashes = 0; crashes < 3; crashes += 1) {
@@ -70,7 +74,7 @@
   expect([caller.answer?.kind, batchCase.crashes]).toEqual(['completed', 3]);
 });
 
-test('a backend server that ends after it has said that it leaves has not crashed', async () => {
+test('a backend server that announces its shutdown and ends has not crashed', async () => {
   const batchCase = await open(2);
   const caller = batchCase.submit('a', { tasks: 2, ms: 1_000 });
   for (const number of [0, 1, 0]) {
@@ -89,7 +93,7 @@
   [2, 2, false],
   [3, 3, true],
   [0, 5, true],
-])('the likeliest cause %i times, there %i times: given up is %s', (suspicion, crashes, is) => {
+])('suspected in %i crashes, present at %i: exceeds the limit: %s', (suspicion, crashes, is) => {
   expect(exceedsCrashLimit({ suspicion, crashes } as BatchTask)).toBe(is);
 });
 
@@ -104,7 +108,7 @@
   expect([before, batchCase.crashes, beside.answer?.kind]).toEqual([2, 3, 'completed']);
 });
 
-test('a suspect for which no backend server is free is answered as failed in the end', async () => {
+test('a batch fails at the end of its time if no backend server is free for its suspect', async () => {
   const batchCase = await open(3, false);
   batchCase.submit('a', { ms: 9_000, waitMs: 30_000 });
   await batchCase.timer.advance(20);
--- a/test/batches/drainedZones.test.ts
+++ b/test/batches/drainedZones.test.ts
@@ -2,8 +2,8 @@
 import DrainedZones from '../../src/peering/DrainedZones';
 import BatchCase from '../support/BatchCase';
 
-// Operators drain a zone in the store. Nothing read that: thousands of tasks were started in zones that were to
-// get nothing, minutes after the operators had been told that their wish was stored.
+// Operators drain a zone in the store. No process read that: thousands of tasks were started in
+// drained zones, minutes after the operators had been told that the setting was stored.
 
 const ZONES = ['a', 'b'];
 
@@ -11,12 +11,12 @@
   return BatchCase.open({ entries, sidecars: 2, zones: ZONES });
 }
 
-/** Tasks started so far at the backend servers of zones "a" and "b". */
+/** Numbers of tasks started so far at the backend servers of zones "a" and "b". */
 function startsOf({ backends }: BatchCase): readonly number[] {
   return backends.map(({ starts }) => starts.length);
 }
 
-test('a drained availability zone gets no new tasks, and what runs there goes on', async () => {
+test('a drained availability zone gets no new tasks, and its runs continue', async () => {
   const batchCase = await open();
   const before = batchCase.submit('before', { tasks: 8, ms: 500 });
   await batchCase.timer.advance(100);
@@ -30,7 +30,7 @@
   ]);
 });
 
-test('entries that do not hear of it from the store hear of it from others', async () => {
+test('entries receive drained zones from other entries if the store does not deliver them', async () => {
   const batchCase = await open(12);
   batchCase.entries[0]!.drainZones(DrainedZones.of(5n, ['a']), 'a test');
   await batchCase.timer.advance(100);
@@ -38,7 +38,7 @@
   expect(known).toEqual(Array(12).fill(['a']));
 });
 
-test('an entry that does not hear of it from the store starts nothing there', async () => {
+test('an entry that did not receive them from the store starts nothing in drained zones', async () => {
   const batchCase = await open();
   batchCase.entries[0]!.drainZones(DrainedZones.of(5n, ['a']), 'a test');
   await batchCase.timer.advance(100);
@@ -47,7 +47,7 @@
   expect(startsOf(batchCase)).toEqual([0, 6]);
 });
 
-test('an availability zone that is taken back gets tasks again', async () => {
+test('an availability zone that is no longer drained gets tasks again', async () => {
   const batchCase = await open();
   batchCase.entries[0]!.drainZones(DrainedZones.of(5n, ['a']), 'a test');
   await batchCase.timer.advance(100);
@@ -58,7 +58,7 @@
   expect(startsOf(batchCase)).toEqual([4, 4]);
 });
 
-test('an older word on drained zones does not replace a newer one', async () => {
+test('an older revision of drained zones does not replace a newer one', async () => {
   const batchCase = await open();
   batchCase.entries[0]!.drainZones(DrainedZones.of(7n, []), 'a test');
   batchCase.entries[1]!.drainZones(DrainedZones.of(5n, ['a']), 'a test');
@@ -68,7 +68,7 @@
   expect(startsOf(batchCase)).toEqual([4, 4]);
 });
 
-test('a batch for which only drained zones have backend servers is refused at once', async () => {
+test('a batch is refused immediately if only drained zones have backend servers', async () => {
   const batchCase = await open();
   await batchCase.timer.advance(3_000);
   batchCase.entries[0]!.drainZones(DrainedZones.of(5n, ['a', 'b']), 'a test');
@@ -85,7 +85,7 @@
   ]);
 });
 
-test('processes that start anew hear which zones are drained before they start anything', async () => {
+test('restarted processes receive the drained zones before they start any task', async () => {
   const batchCase = await open();
   batchCase.entries[0]!.drainZones(DrainedZones.of(5n, ['a']), 'a test');
   await batchCase.timer.advance(100);
@@ -100,7 +100,7 @@
   expect(startsOf(batchCase)).toEqual([0, 8]);
 });
 
-test('a task that waits for its earlier run is not started in a zone drained meanwhile', async () => {
+test('a task that waits for an earlier run to end is not started in a zone drained meanwhile', async () => {
   const batchCase = await open();
   batchCase.backends[1]!.crash();
   await batchCase.timer.advance(500);
--- a/test/batches/duplicateIds.test.ts
+++ b/test/batches/duplicateIds.test.ts
@@ -3,9 +3,9 @@
 
 const WIDE = { entries: 10, sidecars: 20 };
 
-// Callers of ten entries had tasks run twice at the same time: a batch came to a second entry while the first still
-// had it open, or was still stopping it, and no process had to do with both.
-test('a task does not run twice at once when its batch comes to a second entry', async () => {
+// Callers of ten entries had tasks run twice at the same time: a batch reached a second entry while
+// the first still had it open, or was still stopping it, and no process was involved in both.
+test('a task does not run twice at the same time when its batch reaches a second entry', async () => {
   const batchCase = await BatchCase.open(WIDE);
   const first = batchCase.submit('x', { entry: 0, tasks: 2, ms: 300 });
   await batchCase.timer.advance(100);
@@ -18,7 +18,7 @@
   ]);
 });
 
-test('a task does not run twice at once when its caller turns to another entry without a pause', async () => {
+test('a task does not run twice at the same time when its caller immediately turns to another entry', async () => {
   const batchCase = await BatchCase.open(WIDE);
   const first = batchCase.submit('x', { entry: 0, tasks: 2, ms: 300 });
   await batchCase.timer.advance(10);
@@ -28,11 +28,11 @@
   expect([batchCase.maxConcurrentRuns, second.answer]).toEqual([1, { kind: 'completed' }]);
 });
 
-test('a task does not run twice at once when its batch comes to two entries at the same moment', async () => {
+test('a task does not run twice at the same time when its batch reaches two entries simultaneously', async () => {
   const batchCase = await BatchCase.open(WIDE);
-  const copies = [2, 7].map((entry) => batchCase.submit('x', { entry, tasks: 2, ms: 300 }));
+  const duplicates = [2, 7].map((entry) => batchCase.submit('x', { entry, tasks: 2, ms: 300 }));
   await batchCase.timer.advance(2_000);
-  const answers = copies.map(({ answer }) => answer);
+  const answers = duplicates.map(({ answer }) => answer);
   expect([batchCase.maxConcurrentRuns, ...answers]).toEqual([
     1,
     { kind: 'completed' },
--- a/test/batches/faultyPolicy.test.ts
+++ b/test/batches/faultyPolicy.test.ts
@@ -3,7 +3,10 @@
 import standardPolicy from '../../src/batches/standardPolicy';
 import BatchCase from '../support/BatchCase';
 
-/** Submits a batch whose placing fails, and one that waits with it; returns what became of both. */
+/**
+ * Submits a batch whose placement fails, and one that waits with it; returns the answers and the
+ * running tasks.
+ */
 async function submitBoth(policy: Partial<BatchPolicy>) {
   const batchCase = await BatchCase.open({ entries: 1, policy: { ...standardPolicy, ...policy } });
   const callers = ['bad', 'good'].map((id) => batchCase.submit(id, { tasks: 2, ms: 200 }));
@@ -18,9 +21,9 @@
   { kind: 'completed' },
 ];
 
-// All batches that wait at an entry are placed in one turn. An error in reckoning one of them ended the turn
-// each time, so that none got room until that batch's time was over.
-test('a batch whose urgency cannot be told keeps no other from being placed', async () => {
+// All batches that wait at an entry are placed in one pass. An error in one of them ended the pass
+// each time, so none of them got capacity until that batch's time was over.
+test('an error in computing the urgency of a batch does not keep others from being placed', async () => {
   const urgency: BatchPolicy['urgency'] = (batch, now) => {
     if (batch.id === 'bad') throw new Error('a fault');
     return standardPolicy.urgency(batch, now);
@@ -28,10 +31,10 @@
   expect(await submitBoth({ urgency })).toEqual({ answers, running: ['good.0.0', 'good.0.1'] });
 });
 
-test('what was ordered of a batch before its placing failed is stopped', async () => {
-  const choose: BatchPolicy['choose'] = (wish) => {
-    if (wish.batch.id === 'bad' && wish.task.index === 1) throw new Error('a fault');
-    return standardPolicy.choose(wish);
+test('runs that were dispatched before an error in placing their batch are stopped', async () => {
+  const choose: BatchPolicy['choose'] = (choice) => {
+    if (choice.batch.id === 'bad' && choice.task.index === 1) throw new Error('a fault');
+    return standardPolicy.choose(choice);
   };
   expect(await submitBoth({ choose })).toEqual({ answers, running: ['good.0.0', 'good.0.1'] });
 });
--- a/test/batches/machineSpeeds.test.ts
+++ b/test/batches/machineSpeeds.test.ts
@@ -20,7 +20,7 @@
 
 interface Machine {
   readonly name: string;
-  readonly times?: number;
+  readonly ratio?: number;
   readonly slowness?: number;
   readonly freeMilli?: number;
   readonly labels?: string[];
@@ -28,7 +28,7 @@
 }
 
 /** A machine of 16 cores as an entry sees it. */
-function machine({ name, times = 1, freeMilli = 16_000, sent = [], ...more }: Machine) {
+function machine({ name, ratio = 1, freeMilli = 16_000, sent = [], ...more }: Machine) {
   const link = {
     peer: { instance: name, zone: 'z' },
     closed: new AbortController().signal,
@@ -41,16 +41,16 @@
     total: create(AmountSchema, { cpuMilli: 16_000 }),
     free: create(AmountSchema, { cpuMilli: freeMilli }),
     slowness: (more.slowness ?? 1) * 1_000,
-    speed: times * 1_000,
+    speed: ratio * 1_000,
   });
   peer.handleRoom(room);
   return peer;
 }
 
-/** Two fast machines and a slow one, with so much room each. */
+/** Two fast machines and a slow one, each with this much free capacity. */
 function machines(freeMilli = 16_000): SidecarPeer[] {
-  return [0.7, 0.7, 1.7].map((times, at) =>
-    machine({ name: ['fast', 'quick', 'slow'][at]!, times, freeMilli }),
+  return [0.7, 0.7, 1.7].map((ratio, at) =>
+    machine({ name: ['fast', 'quick', 'slow'][at]!, ratio, freeMilli }),
   );
 }
 
@@ -67,64 +67,71 @@
   return Batch.accept({ id: 'a', queue, spec: '', steps: [step], waitMs: 5_000 }, 0);
 }
 
-/** Where the tasks of a batch go that are ordered in one turn. */
-function placed(one: Batch, peers: readonly SidecarPeer[], remoteFactor?: number): string {
+/** The machines of a batch's tasks that are dispatched in one pass. */
+function placementsOf(one: Batch, peers: readonly SidecarPeer[], remoteFactor?: number): string {
   const machineRatios = FleetDurationRatios.create().relativeToMean(peers);
   const ejected = findOutliers(peers, machineRatios);
   let last: SidecarPeer | undefined;
-  let ordered = 0;
+  let tasksInMessage = 0;
   const names = [...one.ready].map((task) => {
     const place = { peers, ejected, machineRatios, remoteFactor, zone: 'z', now: 0 };
-    const isJoining = last !== undefined && canShareMessage(last, task, ordered);
-    const peer = choosePeer({ batch: one, task, ...place, peers: isJoining ? [last!] : peers })!;
-    ordered = isJoining ? ordered + 1 : 1;
+    const sharesMessage = last !== undefined && canShareMessage(last, task, tasksInMessage);
+    const peer = choosePeer({
+      batch: one,
+      task,
+      ...place,
+      peers: sharesMessage ? [last!] : peers,
+    })!;
+    tasksInMessage = sharesMessage ? tasksInMessage + 1 : 1;
     last = peer;
-    const there = durationRatiosOf(task, peer, place);
-    peer.dispatch(one, task, there);
-    one.markStarting(task, task.step.estimateMs * there.machine * there.distance);
+    const durationRatios = durationRatiosOf(task, peer, place);
+    peer.dispatch(one, task, durationRatios);
+    one.markStarting(task, task.step.estimateMs * durationRatios.machine * durationRatios.distance);
     return peer.instance;
   });
   return names.join(' ');
 }
 
 test('under light load short and long tasks go to the fast machines', () => {
-  const placements = [73, 1_086].map((estimateMs) => placed(batch({ estimateMs }), machines()));
+  const placements = [73, 1_086].map((estimateMs) =>
+    placementsOf(batch({ estimateMs }), machines()),
+  );
   expect(placements).toEqual(['fast', 'fast']);
 });
 
-test('when fast room is short, long tasks get it and short ones go where it is slow', () => {
+test('when fast capacity is short, long tasks get it and short ones go to slow machines', () => {
   const placements = [73, 1_086].map((estimateMs) =>
-    placed(batch({ estimateMs }), machines(6_000)),
+    placementsOf(batch({ estimateMs }), machines(6_000)),
   );
   expect(placements).toEqual(['slow', 'fast']);
 });
 
-test('a slow machine is not left idle when the fast ones are full', () => {
-  const full = [0.7, 0.7].map((times, at) => machine({ name: `f${at}`, times, freeMilli: 0 }));
-  const peers = [...full, machine({ name: 'slow', times: 1.7 })];
-  expect(placed(batch({ estimateMs: 1_086 }), peers)).toBe('slow');
+test('a slow machine is used when the fast ones are full', () => {
+  const full = [0.7, 0.7].map((ratio, at) => machine({ name: `f${at}`, ratio, freeMilli: 0 }));
+  const peers = [...full, machine({ name: 'slow', ratio: 1.7 })];
+  expect(placementsOf(batch({ estimateMs: 1_086 }), peers)).toBe('slow');
 });
 
-test('once one task of a batch is late, the others take no fast room', () => {
+test('once one task of a batch is late, the others use no fast capacity', () => {
   const [fast, slow] = [3_000, 16_000].map((freeMilli, at) =>
-    machine({ name: at === 0 ? 'fast' : 'slow', times: at === 0 ? 0.7 : 1.7, freeMilli }),
+    machine({ name: at === 0 ? 'fast' : 'slow', ratio: at === 0 ? 0.7 : 1.7, freeMilli }),
   );
-  const other = machine({ name: 'full', times: 0.7, freeMilli: 0 });
+  const other = machine({ name: 'full', ratio: 0.7, freeMilli: 0 });
   const one = batch({ estimateMs: 1_086, count: 2 });
   one.expectedEndAt = one.targetAt + 1;
-  expect(placed(one, [fast!, other, slow!])).toBe('slow slow');
+  expect(placementsOf(one, [fast!, other, slow!])).toBe('slow slow');
 });
 
-test('tasks of a batch still go together to few machines', () => {
-  expect(placed(batch({ count: 8, estimateMs: 73 }), machines())).toBe(
+test('the tasks of a batch are still grouped on few machines', () => {
+  expect(placementsOf(batch({ count: 8, estimateMs: 73 }), machines())).toBe(
     'fast fast fast fast quick quick quick quick',
   );
 });
 
-test('a machine that is slow by its kind is not ill, and one that is ill beyond that is', () => {
+test('an inherently slow machine is not ejected unless it is degraded as well', () => {
   const peersWith = (slowness: number): SidecarPeer[] => [
     ...machines().slice(0, 2),
-    machine({ name: 'slow', times: 1.7, slowness }),
+    machine({ name: 'slow', ratio: 1.7, slowness }),
   ];
   const ejectedOf = (peers: readonly SidecarPeer[]): string[] =>
     [...findOutliers(peers, FleetDurationRatios.create().relativeToMean(peers))].map(
@@ -133,25 +140,25 @@
   expect([ejectedOf(peersWith(4)), ejectedOf(peersWith(8))]).toEqual([[], ['slow']]);
 });
 
-test('what a task takes on a slow machine teaches what it takes on a middling one', () => {
-  const expectations = BatchEstimator.create(standardPolicy);
+test('a duration on a slow machine is normalised to one of average speed', () => {
+  const estimator = BatchEstimator.create(standardPolicy);
   const peers = machines();
   const machineRatios = FleetDurationRatios.create().relativeToMean(peers);
   const one = batch();
   const slow = peers[2]!;
-  const there = durationRatiosOf(one.tasks[0]!, slow, { machineRatios });
-  const run = slow.dispatch(one, one.tasks[0]!, there);
+  const durationRatios = durationRatiosOf(one.tasks[0]!, slow, { machineRatios });
+  const run = slow.dispatch(one, one.tasks[0]!, durationRatios);
   for (let times = 0; times < 200; times += 1) {
-    expectations.learn(run, slow, run.dispatchedAt + 300 * there.machine);
+    estimator.learn(run, slow, run.dispatchedAt + 300 * durationRatios.machine);
   }
-  expect(expectations.addEstimates(one.submission).steps[0]!.estimateMs).toBe(300);
+  expect(estimator.addEstimates(one.submission).steps[0]!.estimateMs).toBe(300);
 });
 
-// Distance: the factor is what operators say; the sidecar is told what the task takes there.
-test('a short task takes the emptier machine away from its data, a long one waits for no crowd', () => {
+// The distance factor is set by operators; the sidecar receives the duration expected there.
+test('a short task goes to the emptier machine away from its data, a long one stays close to it', () => {
   const rack = 'r1';
   const place = (estimateMs: number): string =>
-    placed(
+    placementsOf(
       batch({ estimateMs, preferredLabel: rack }),
       [
         machine({ name: 'near', freeMilli: 3_000, labels: [rack] }),
@@ -162,10 +169,10 @@
   expect([place(73), place(1_086)]).toEqual(['far', 'near']);
 });
 
-test('a sidecar is told the time away from the data, so that it does not take distance for illness', () => {
+test('the estimate sent to a sidecar includes the distance, which then does not count as slowness', () => {
   const sent: PeerMessage[] = [];
   const far = machine({ name: 'far', labels: ['r2'], sent });
-  placed(batch({ preferredLabel: 'r1' }), [far], 3);
+  placementsOf(batch({ preferredLabel: 'r1' }), [far], 3);
   far.flush(undefined);
   const [message] = sent;
   expect(message?.case === 'startRuns' && message.value.runs[0]?.estimateMs).toBe(900);
--- a/test/batches/manyEntries.test.ts
+++ b/test/batches/manyEntries.test.ts
@@ -2,35 +2,36 @@
 import ringSuccessors from '../../src/peering/ringSuccessors';
 import BatchCase from '../support/BatchCase';
 
-const MANY = 12;
+const ENTRY_COUNT = 12;
 
-// With 35 entries each change of the configuration went whole over both links of each pair, 2,380 copies, and
-// each entry that was linked anew had all others tell all of theirs where entries listen.
-test('a configuration reaches every entry in a few copies each', async () => {
-  const batchCase = await BatchCase.open({ entries: MANY, sidecars: 0, configured: false });
+// With 35 entries, each change of the configuration was sent whole over both links of each pair,
+// 2,380 copies, and all entries sent their known addresses to each newly linked one.
+test('a configuration reaches every entry in a few messages each', async () => {
+  const batchCase = await BatchCase.open({ entries: ENTRY_COUNT, sidecars: 0, configured: false });
   await batchCase.timer.advance(2_000);
   batchCase.network.resetCounts();
   batchCase.configure();
   await batchCase.timer.advance(500);
   const versions = batchCase.entries.map(({ table }) => table.version);
-  expect(versions).toEqual(Array(MANY).fill(1));
-  expect(batchCase.network.messageCounts().configuration).toBeLessThanOrEqual(4 * MANY);
+  expect(versions).toEqual(Array(ENTRY_COUNT).fill(1));
+  expect(batchCase.network.messageCounts().configuration).toBeLessThanOrEqual(4 * ENTRY_COUNT);
 });
 
-// Every entry has it from the store, too. With 1,400 queues each copy was 230 kB, and on links of the smallest
-// machines what came from others held up what came from the store, for longer than a change may take.
-test('a configuration that the store tells to all goes between entries by its version only', async () => {
-  const batchCase = await BatchCase.open({ entries: MANY, sidecars: 0, configured: false });
+// Every entry also gets it from the store. With 1,400 queues each copy was 230 kB, and on links of
+// the smallest machines the copies of other entries delayed the one of the store, for longer than a
+// change may take.
+test('entries exchange only the version of a configuration that the store delivers to all', async () => {
+  const batchCase = await BatchCase.open({ entries: ENTRY_COUNT, sidecars: 0, configured: false });
   await batchCase.timer.advance(2_000);
   batchCase.network.resetCounts();
   batchCase.entries.forEach((_, entry) => batchCase.configure(1, entry));
   await batchCase.timer.advance(3_000);
   const { configuration = 0, configurationKnown } = batchCase.network.messageCounts();
-  expect([configuration, configurationKnown]).toEqual([0, 4 * MANY]);
+  expect([configuration, configurationKnown]).toEqual([0, 4 * ENTRY_COUNT]);
 });
 
-test('an entry that the store does not tell asks one of the others after a second', async () => {
-  const batchCase = await BatchCase.open({ entries: MANY, sidecars: 0 });
+test('an entry that the store skips requests the configuration from another after a second', async () => {
+  const batchCase = await BatchCase.open({ entries: ENTRY_COUNT, sidecars: 0 });
   await batchCase.timer.advance(2_000);
   batchCase.network.resetCounts();
   const [left, ...others] = [...batchCase.entries.keys()];
@@ -42,7 +43,7 @@
   expect([before, after, batchCase.network.messageCounts().configuration]).toEqual([1, 2, 1]);
 });
 
-test('an entry that gets no answer asks another', async () => {
+test('an entry that gets no response requests the configuration from another', async () => {
   const batchCase = await BatchCase.open({ entries: 3, sidecars: 0 });
   await batchCase.timer.advance(2_000);
   batchCase.configure(2, 1);
@@ -53,8 +54,8 @@
   expect(batchCase.entries[0]!.table.version).toBe(2);
 });
 
-test('an entry whose neighbours are all gone still hears of a configuration', async () => {
-  const batchCase = await BatchCase.open({ entries: MANY, sidecars: 0, configured: false });
+test('an entry whose ring neighbours are all gone still receives a configuration', async () => {
+  const batchCase = await BatchCase.open({ entries: ENTRY_COUNT, sidecars: 0, configured: false });
   const lost = ['e6', 'e7', 'e8', 'e9', 'e5', 'e4'];
   await batchCase.timer.advance(2_000);
   lost.forEach((one) => batchCase.network.kill(one));
@@ -65,16 +66,18 @@
   expect(versions).toEqual(Array(6).fill(1));
 });
 
-test('entries that start together tell of each other in a few messages each', async () => {
-  const batchCase = await BatchCase.open({ entries: MANY, sidecars: 0, configured: false });
+test('entries that start together announce each other in a few messages each', async () => {
+  const batchCase = await BatchCase.open({ entries: ENTRY_COUNT, sidecars: 0, configured: false });
   await batchCase.timer.advance(2_000);
   expect(batchCase.entries.map((entry) => entry.entryLinkCount)).toEqual(
-    Array(MANY).fill(MANY - 1),
+    Array(ENTRY_COUNT).fill(ENTRY_COUNT - 1),
+  );
+  expect(batchCase.network.messageCounts().knownEntries! / ENTRY_COUNT).toBeLessThanOrEqual(
+    6 * ENTRY_COUNT,
   );
-  expect(batchCase.network.messageCounts().knownEntries! / MANY).toBeLessThanOrEqual(6 * MANY);
 });
 
-test('no link between entries is taken for silent while both sides are there', async () => {
+test('no link between entries is considered silent while both are up', async () => {
   const batchCase = await BatchCase.open({ entries: 3, sidecars: 0 });
   await batchCase.timer.advance(2_000);
   batchCase.network.resetCounts();
@@ -83,7 +86,7 @@
   expect(batchCase.network.messageCounts().dial ?? 0).toBe(0);
 });
 
-test('an entry whose link to another has ended is linked to it again, whoever dialled', async () => {
+test('entries whose link has ended are linked again, whichever of them dialled', async () => {
   const batchCase = await BatchCase.open({ entries: 3, sidecars: 0 });
   await batchCase.timer.advance(2_000);
   batchCase.network.partition('e0', 'e1');
@@ -100,7 +103,7 @@
   ]);
 });
 
-test('the next in a ring go round its end', () => {
+test('the successors in a ring wrap around', () => {
   const names = ['a', 'b', 'c', 'd', 'e'];
   expect([...ringSuccessors('d', names, 3)]).toEqual(['e', 'a', 'b']);
 });
--- a/test/batches/policyDecisions.test.ts
+++ b/test/batches/policyDecisions.test.ts
@@ -66,12 +66,12 @@
   return choosePeer({ batch: one, task: task!, peers, ejected, zone: 'z', now: 0 })?.instance;
 }
 
-test('the emptiest backend server gets the task', () => {
+test('the backend server with the most free capacity gets the task', () => {
   const peers = [sidecar({ name: 'a', freeMilli: 20_000 }), sidecar({ name: 'b' })];
   expect(chosen(peers)).toBe('b');
 });
 
-test('the own zone counts for about a task', () => {
+test('the own zone has the weight of about one task', () => {
   const near = sidecar({ name: 'near', freeMilli: 58_000 });
   const far = sidecar({ name: 'far', zone: 'y' });
   const muchEmptier = sidecar({ name: 'far', zone: 'y', freeMilli: 64_000 });
@@ -79,7 +79,7 @@
   expect([chosen([near, far]), chosen([full, muchEmptier])]).toEqual(['near', 'far']);
 });
 
-test('a task goes along with up to three others of its batch, as far as there is room', () => {
+test('a task shares a message with up to three others of its batch while capacity allows', () => {
   const peer = sidecar({ name: 'a', freeMilli: 12_000 });
   const full = sidecar({ name: 'b', freeMilli: 5_000 });
   const [task] = batch('a', { count: 10 }).ready;
@@ -87,7 +87,7 @@
   expect([joins, canShareMessage(full, task!, 1)]).toEqual([[true, true, true, false], false]);
 });
 
-test('a backend server without room is not chosen', () => {
+test('a backend server without free capacity is not chosen', () => {
   expect(chosen([sidecar({ name: 'a', freeMilli: 5_000 })])).toBeUndefined();
 });
 
@@ -105,12 +105,12 @@
   expect(names).toEqual(['failing', 'slower']);
 });
 
-test('estimates that are wrong for all alike shun nobody', () => {
+test('estimates that are equally wrong everywhere eject no backend server', () => {
   const peers = ['a', 'b', 'c', 'd'].map((name) => sidecar({ name, slowness: 5 }));
   expect(findOutliers(peers).size).toBe(0);
 });
 
-test('an ejected backend server gets single tasks', () => {
+test('an ejected backend server gets one task at a time', () => {
   const bad = sidecar({ name: 'bad', slowness: 16 });
   const full = ['a', 'b', 'c'].map((name) => sidecar({ name, freeMilli: 0 }));
   const first = chosen([bad, ...full]);
@@ -119,21 +119,21 @@
   expect([first, chosen([bad, ...full])]).toEqual(['bad', undefined]);
 });
 
-test('a begun batch with many tasks left does not go before what is more urgent', () => {
+test('a started batch with many tasks left does not go before a more urgent one', () => {
   const urgent = batch('urgent', {}, 0);
   const wide = batch('wide', { count: 20 }, 1);
   wide.markStarting(wide.ready[0]!);
   expect(compareUrgencies(urgencyOf(urgent, 1), urgencyOf(wide, 1))).toBeLessThan(0);
 });
 
-test('a begun batch with few tasks left goes before what is more urgent', () => {
+test('a started batch with few tasks left goes before a more urgent one', () => {
   const urgent = batch('urgent', {}, 0);
   const narrow = batch('narrow', { count: 3 }, 1);
   narrow.markStarting(narrow.ready[0]!);
   expect(compareUrgencies(urgencyOf(narrow, 1), urgencyOf(urgent, 1))).toBeLessThan(0);
 });
 
-test('what is in time goes first, then priority, then what must start soonest', () => {
+test('batches are ordered by whether they are in time, then priority, then slack', () => {
   const now = 1_000;
   const batches = [
     batch('urgent late', {}, 0, 0),
@@ -147,7 +147,7 @@
   expect(order).toEqual(['urgent in time, older', 'urgent in time', 'other', 'urgent late']);
 });
 
-test('a begun batch with few tasks left is finished also when it is late', () => {
+test('a started batch with few tasks left is finished even if it is late', () => {
   const narrow = batch('narrow', { count: 3 }, 1);
   narrow.markStarting(narrow.ready[0]!);
   const waiting = batch('waiting', {}, 0, 600);
@@ -155,13 +155,13 @@
   expect(compareUrgencies(first, second)).toBeLessThan(0);
 });
 
-test('a batch that has begun does not wait in vain', () => {
+test('a started batch is not refused as expired', () => {
   const one = batch('a');
   one.markStarting(one.ready[0]!);
   expect(one.willExpireUnstarted(4_000)).toBe(false);
 });
 
-test('among the late the small go first, and the hopeless last', () => {
+test('among late batches small ones go first, and those that will expire last', () => {
   const now = 1_000;
   const batches = [
     batch('hopeless', {}, 0, -500),
@@ -174,7 +174,7 @@
   expect(order).toEqual(['narrow', 'wide', 'hopeless']);
 });
 
-test('a batch that has begun is finished before an equal one is begun', () => {
+test('a started batch is finished before an equal one is started', () => {
   const begun = batch('begun', { count: 2 }, 0, 1_000);
   const waiting = batch('waiting', {}, 0, 990);
   begun.markStarting(begun.ready[0]!);
@@ -182,28 +182,28 @@
   expect(compareUrgencies(first, second)).toBeLessThan(0);
 });
 
-test('the wait is the work in line over the share of the backend servers', () => {
+test('the predicted wait is the work of the backlog over the share of the backend servers', () => {
   const ahead = [batch('a', { count: 32 })];
   const peers = [sidecar({ name: 'a', freeMilli: 0 })];
   expect(predictWait(ahead, peers, 3)).toBe((32 * 6_000 * 300 * 3) / 64_000);
 });
 
-test('a batch is hopeless when three times its objective cannot be made', () => {
+test('a batch will expire if three times its latency target cannot be met', () => {
   const one = batch('a');
-  // The objective is 1.6 * 300 + 60 = 540 ms, and 300 ms of work are left.
+  // The target is 1.6 * 300 + 60 = 540 ms, and 300 ms of work are left.
   expect([one.willExpire(1_319), one.willExpire(1_321)]).toEqual([false, true]);
 });
 
-test('what its caller has spent before counts towards its objective', () => {
+test('the time that its caller has spent before counts towards its latency target', () => {
   const { submission } = batch('a');
   const one = Batch.accept({ ...submission, spentMs: 1_000 }, 0);
   expect([one.willExpire(319), one.willExpire(321)]).toEqual([false, true]);
 });
 
 test.each([
-  ['crawls', { slowness: 8, at: 300 }, true],
+  ['makes hardly any progress', { slowness: 8, at: 300 }, true],
   ['is nearly done', { slowness: 1.4, at: 300 }, false],
-  ['has just begun', { slowness: 8, at: 100 }, false],
+  ['has just started', { slowness: 8, at: 100 }, false],
 ])('a run that %s is moved: %o', (_name, { slowness, at }, expected) => {
   const peer = sidecar({ name: 'a', slowness });
   const one = batch('a');
@@ -211,7 +211,7 @@
   expect(isWorthMoving(run, peer, at)).toBe(expected);
 });
 
-test('a run is moved once only', () => {
+test('a run is moved only once', () => {
   const peer = sidecar({ name: 'a', slowness: 8 });
   const one = batch('a');
   const run = peer.dispatch(one, one.ready[0]!);
@@ -219,9 +219,10 @@
   expect(isWorthMoving(run, peer, 300)).toBe(false);
 });
 
-// Sidecars are told how urgently a queue waits, by a number that its priority was added to: a priority of
-// 2^32 ended each link to a sidecar as often as something waited in the queue ("invalid uint32").
-test('the lowest priorities count alike, and none of them goes behind what is late', () => {
+// Sidecars receive the urgency of a queue's backlog as a number that includes its priority: a
+// priority of 2^32 ended each link to a sidecar whenever a batch of the queue was waiting ("invalid
+// uint32").
+test('the lowest priorities count the same, and none of them goes behind late batches', () => {
   const ranks = [998, 999, 1_000, 2 ** 32].map(
     (priority) => urgencyOf(batch('a', {}, priority), 0).rank,
   );
--- a/test/batches/silentEntry.test.ts
+++ b/test/batches/silentEntry.test.ts
@@ -2,10 +2,11 @@
 import { Role } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import BatchCase from '../support/BatchCase';
 
-// An entry that was cut off without a word was still counted as linked 22 and 27 s later ("linked_entries"
-// 3 instead of 2 at 28 and at 33 s): a link that the other side had dialled ended only with its connection.
-// Until then each configuration was queued for it, and its address was told to all sidecars.
-test('a link over which another entry says nothing any more is ended', async () => {
+// An entry that was isolated abruptly was still counted as linked 22 and 27 s later
+// ("linked_entries" 3 instead of 2 at 28 and at 33 s): a link that the peer had dialled ended only
+// with its connection. Until then each configuration was queued for it, and its address was sent to
+// all sidecars.
+test('a link over which another entry sends nothing any more is closed', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 0 });
   const { timer, entries } = batchCase;
   await batchCase.dial('x', Role.ENTRY);
@@ -17,7 +18,7 @@
   expect(counts).toEqual([1, 1, 0]);
 });
 
-test('entries that have nothing to tell keep their links', async () => {
+test('entries without news for each other keep their links', async () => {
   const { timer, entries } = await BatchCase.open({ entries: 2, sidecars: 0 });
   const before = entries.map(({ entryLinkCount }) => entryLinkCount);
   await timer.advance(120_000);
