--- a/src/batches/Batch.ts
+++ b/src/batches/Batch.ts
@@ -150,7 +150,7 @@
 
   /** The longest estimate among the ready tasks, ms; later steps are ignored. */
   get longestReadyMs(): number {
-    return this.ready.reduce((most, { step }) => Math.max(most, step.estimateMs), 0);
+    return this.ready.reduce((longest, { step }) => Math.max(longest, step.estimateMs), 0);
   }
 
   /** Removes a ready task, since it is being started; `endsAt` is when it is expected to end. */
--- a/src/batches/BatchPolicy.ts
+++ b/src/batches/BatchPolicy.ts
@@ -25,7 +25,7 @@
    * Time that a caller has probably spent on earlier attempts, derived from how long it says it
    * will wait.
    */
-  readonly estimateSpent: (patience: SpentTimeModel, queue: string, waitMs: number) => number;
+  readonly estimateSpent: (model: SpentTimeModel, queue: string, waitMs: number) => number;
   /** Urgency of a waiting batch, which decides the order in which batches get capacity. */
   readonly urgency: typeof urgencyOf;
   /** Duration ratios, relative to the mean, of the machines that deviate from it. */
--- a/src/batches/EntryMesh.ts
+++ b/src/batches/EntryMesh.ts
@@ -24,7 +24,7 @@
 import type EntryPeersOptions from './EntryPeersOptions';
 
 interface EntryMeshOptions extends EntryPeersOptions {
-  /** The greeting of this entry when it dials. */
+  /** The Hello message of this entry when it dials. */
   readonly hello: (session: bigint) => Hello;
   /**
    * Called when the known addresses of entries change, and at intervals, with the message to
--- a/src/batches/Followers.ts
+++ b/src/batches/Followers.ts
@@ -99,11 +99,11 @@
   /** Answers the entry once the batch has no active runs here any more. */
   private async awaitEnd(link: Link, number: number, id: string): Promise<void> {
     const { batches, claims } = this.opts;
-    const ending = batches.answeredButRunning(id);
+    const running = batches.answeredButRunning(id);
     const { newestClaim } = claims;
-    if (ending.length > 0) {
+    if (running.length > 0) {
       const cancelled = this.startWaiting(link, number);
-      await Promise.all(ending.map((batch) => batch.whenIdle()));
+      await Promise.all(running.map((batch) => batch.whenIdle()));
       this.waiting.get(link)?.delete(number);
       if (cancelled.aborted) return;
     }
--- a/src/batches/Objective.ts
+++ b/src/batches/Objective.ts
@@ -21,9 +21,13 @@
       const predecessorsMs = Math.max(0, ...after.map((number) => pathsMs[number] ?? 0));
       pathsMs.push(predecessorsMs + estimateMs);
     });
-    const chainMs = Math.max(0, ...pathsMs);
-    const aimMs = queue.stretch * chainMs + queue.targetLatencyMs;
-    return new Objective(chainMs, aimMs, Math.min(aimMs * EXPIRY_FACTOR, spentMs + ageMs + waitMs));
+    const criticalPathMs = Math.max(0, ...pathsMs);
+    const targetMs = queue.stretch * criticalPathMs + queue.targetLatencyMs;
+    return new Objective(
+      criticalPathMs,
+      targetMs,
+      Math.min(targetMs * EXPIRY_FACTOR, spentMs + ageMs + waitMs),
+    );
   }
 }
 
--- a/src/batches/Startup.ts
+++ b/src/batches/Startup.ts
@@ -19,7 +19,7 @@
     this.startedAt = timer.now();
   }
 
-  /** Begins with the start of the process. */
+  /** Begins the startup phase, at the start of the process. */
   static begin(timer: TimerService): Startup {
     return new Startup(timer);
   }
--- a/src/batches/SubmissionHandler.ts
+++ b/src/batches/SubmissionHandler.ts
@@ -133,10 +133,10 @@
     });
     await Promise.all(earlier.map((each) => each.whenIdle()));
     if (batch.answer) return;
-    const settled = await claims.acquire(claim, done.signal);
+    const result = await claims.acquire(claim, done.signal);
     if (batch.answer) return;
-    if (settled === 'held') scheduler.add(batch);
-    else batches.finish(batch, answerMessages.read(settled));
+    if (result === 'held') scheduler.add(batch);
+    else batches.finish(batch, answerMessages.read(result));
   }
 }
 
--- a/src/batches/standardPolicy.ts
+++ b/src/batches/standardPolicy.ts
@@ -11,7 +11,7 @@
 /** The default decisions. */
 const standardPolicy: BatchPolicy = {
   predictDuration: (durations, queue, estimateMs) => durations.predict(queue, estimateMs),
-  estimateSpent: (patience, queue, waitMs) => patience.observe(queue, waitMs),
+  estimateSpent: (model, queue, waitMs) => model.observe(queue, waitMs),
   urgency: urgencyOf,
   speeds: (fleet, peers) => fleet.relativeToMean(peers),
   choose: choosePeer,
--- a/test/batches/CapacitySearch.test.ts
+++ b/test/batches/CapacitySearch.test.ts
@@ -9,7 +9,7 @@
   readonly service: string;
   readonly isUsable: boolean;
   readonly capacity: Resources;
-  isAsked: boolean;
+  hasDemand: boolean;
 }
 
 const small = Resources.of({ cpuMilli: 1_000 });
@@ -17,25 +17,25 @@
 function sidecars(count: number, change: Partial<Sidecar> = {}): Sidecar[] {
   const capacity = Resources.of({ cpuMilli: 8_000 });
   return Array.from({ length: count }, (_, number) => ({
-    ...{ name: `s${number}`, service: 'a', isUsable: true, isAsked: false, capacity },
+    ...{ name: `s${number}`, service: 'a', isUsable: true, hasDemand: false, capacity },
     ...change,
   }));
 }
 
 /**
- * Returns a function that searches for capacity at a time, and marks the notified sidecars as they
- * do themselves.
+ * Returns a function that selects sidecars at a given time, and marks them as notified, as the
+ * sidecars do themselves.
  */
 function searcher(all: readonly Sidecar[]) {
   const search = CapacitySearch.create();
   return (now: number, needs: Resources | undefined = small): readonly string[] => {
     const head: BacklogHead = { needs, urgency: { rank: 0, slackMs: 0 } };
     const heads = new Map(needs === Resources.none ? [] : [['a', head]]);
-    const asked = search.select(all as unknown as readonly SidecarPeer[], heads, now);
+    const selected = search.select(all as unknown as readonly SidecarPeer[], heads, now);
     all.forEach((sidecar) => {
-      sidecar.isAsked = asked.has(sidecar as unknown as SidecarPeer);
+      sidecar.hasDemand = selected.has(sidecar as unknown as SidecarPeer);
     });
-    return all.filter(({ isAsked }) => isAsked).map(({ name }) => name);
+    return all.filter(({ hasDemand }) => hasDemand).map(({ name }) => name);
   };
 }
 
--- a/test/batches/answeredAtDeadline.test.ts
+++ b/test/batches/answeredAtDeadline.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
 import BatchCase from '../support/BatchCase';
 
-// Requests were not answered at their deadline: it waited for the runs of an earlier batch of the
-// same id.
+// Requests were not answered at their deadline: the answer waited for the runs of an earlier batch
+// of the same id.
 test('a batch that waits for the runs of an earlier one is answered at its deadline', async () => {
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
   const first = batchCase.submit('x', { ms: 5_000 });
--- a/test/batches/cancelledIds.test.ts
+++ b/test/batches/cancelledIds.test.ts
@@ -2,8 +2,8 @@
 import BatchCase from '../support/BatchCase';
 
 // A duplicate of a submission may arrive seconds after the answer to the first, at any entry. After
-// its caller had cancelled the batch, the duplicate was accepted and ran from the start, for
-// nobody.
+// its caller had cancelled the batch, the duplicate was accepted and ran from the start, although
+// no caller waited for it.
 test('a cancelled batch does not run when a duplicate submission arrives', async () => {
   const batchCase = await BatchCase.open();
   batchCase.submit('a', { tasks: 2, ms: 5_000 });
--- a/test/batches/claimsOfIsolatedEntry.test.ts
+++ b/test/batches/claimsOfIsolatedEntry.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from 'vitest';
 import BatchCase from '../support/BatchCase';
 
-// An entry that was isolated from everything resumed a batch, when it was back, that another entry
-// had taken over.
+// An entry that had been isolated resumed, after it was back, a batch that another entry had taken
+// over.
 test('a task does not run twice at the same time when its entry is paused and resumes', async () => {
   const batchCase = await BatchCase.open({ entries: 3, sidecars: 6 });
   batchCase.submit('x', { entry: 0, tasks: 2, ms: 3_000 });
@@ -11,10 +11,10 @@
   await batchCase.timer.advance(500);
   const second = batchCase.submit('x', { entry: 1, tasks: 2, ms: 3_000 });
   await batchCase.timer.advance(3_000);
-  const taken = batchCase.running;
+  const whilePaused = batchCase.running;
   batchCase.network.resume('e0');
   await batchCase.timer.advance(5_000);
-  expect([taken, batchCase.maxConcurrentRuns, second.answer]).toEqual([
+  expect([whilePaused, batchCase.maxConcurrentRuns, second.answer]).toEqual([
     ['x.0.0', 'x.0.1'],
     1,
     { kind: 'completed' },
--- a/test/batches/overloadedEntry.test.ts
+++ b/test/batches/overloadedEntry.test.ts
@@ -3,7 +3,7 @@
 
 /** Makes every entry lag by 300 ms, several times in a row. */
 async function causeLag({ timer }: BatchCase): Promise<void> {
-  for (let turn = 0; turn < 3; turn += 1) {
+  for (let round = 0; round < 3; round += 1) {
     timer.jump(400);
     await timer.advance(1);
   }
--- a/test/batches/policyDecisions.test.ts
+++ b/test/batches/policyDecisions.test.ts
@@ -71,7 +71,7 @@
   expect(chosen(peers)).toBe('b');
 });
 
-test('the own zone has the weight of about one task', () => {
+test("the entry's own zone has the weight of about one task", () => {
   const near = sidecar({ name: 'near', freeMilli: 58_000 });
   const far = sidecar({ name: 'far', zone: 'y' });
   const muchEmptier = sidecar({ name: 'far', zone: 'y', freeMilli: 64_000 });
@@ -83,8 +83,10 @@
   const peer = sidecar({ name: 'a', freeMilli: 12_000 });
   const full = sidecar({ name: 'b', freeMilli: 5_000 });
   const [task] = batch('a', { count: 10 }).ready;
-  const joins = [1, 2, 3, 4].map((ordered) => canShareMessage(peer, task!, ordered));
-  expect([joins, canShareMessage(full, task!, 1)]).toEqual([[true, true, true, false], false]);
+  const allowed = [1, 2, 3, 4].map((tasksInMessage) =>
+    canShareMessage(peer, task!, tasksInMessage),
+  );
+  expect([allowed, canShareMessage(full, task!, 1)]).toEqual([[true, true, true, false], false]);
 });
 
 test('a backend server without free capacity is not chosen', () => {
@@ -164,21 +166,21 @@
 test('among late batches small ones go first, and those that will expire last', () => {
   const now = 1_000;
   const batches = [
-    batch('hopeless', {}, 0, -500),
+    batch('expiring', {}, 0, -500),
     batch('wide', { count: 20 }, 0, 100),
     batch('narrow', {}, 0, 200),
   ];
   const order = batches
     .sort((a, b) => compareUrgencies(urgencyOf(a, now), urgencyOf(b, now)))
     .map(({ id }) => id);
-  expect(order).toEqual(['narrow', 'wide', 'hopeless']);
+  expect(order).toEqual(['narrow', 'wide', 'expiring']);
 });
 
 test('a started batch is finished before an equal one is started', () => {
-  const begun = batch('begun', { count: 2 }, 0, 1_000);
+  const started = batch('begun', { count: 2 }, 0, 1_000);
   const waiting = batch('waiting', {}, 0, 990);
-  begun.markStarting(begun.ready[0]!);
-  const [first, second] = [urgencyOf(begun, 1_010), urgencyOf(waiting, 1_010)];
+  started.markStarting(started.ready[0]!);
+  const [first, second] = [urgencyOf(started, 1_010), urgencyOf(waiting, 1_010)];
   expect(compareUrgencies(first, second)).toBeLessThan(0);
 });
 
