--- a/src/batches/standardPolicy.ts
+++ b/src/batches/standardPolicy.ts
@@ -8,10 +8,10 @@
 import urgencyOf from './urgencyOf';
 import isWorthMoving from './isWorthMoving';
 
-/** The decisions that entries make unless others are tried. */
+/** The default decisions. */
 const standardPolicy: BatchPolicy = {
   predictDuration: (durations, queue, estimateMs) => durations.predict(queue, estimateMs),
-  estimateSpent: (patience, queue, waitMs) => patience.observe(queue, waitMs),
+  estimateSpent: (model, queue, waitMs) => model.observe(queue, waitMs),
   urgency: urgencyOf,
   speeds: (fleet, peers) => fleet.relativeToMean(peers),
   choose: choosePeer,
