--- a/src/sidecar/Services.ts
+++ b/src/sidecar/ActiveConfiguration.ts
@@ -17,10 +17,10 @@
   (cause) => String(cause),
 );
 
-/** What a sidecar needs of the newest configuration that it has heard of. */
-export default class Services {
-  /** The newest configuration that was put in force. */
-  readonly newest = Versioned.of(
+/** The service limits that a sidecar uses, from the newest configuration it has received. */
+export default class ActiveConfiguration {
+  /** The configuration in effect. */
+  readonly versioned = Versioned.of(
     create(ConfigurationSchema),
     (configuration) => configuration.version,
   );
@@ -29,34 +29,34 @@
 
   private constructor() {}
 
-  /** Creates the limits that hold before any configuration is known. */
-  static create(): Services {
-    return new Services();
+  /** Creates the default limits, which apply before the first configuration. */
+  static create(): ActiveConfiguration {
+    return new ActiveConfiguration();
   }
 
-  /** The version in force; 0 before the first. */
+  /** Version of the configuration in effect; 0 before the first. */
   get version(): bigint {
-    return this.newest.number;
+    return this.versioned.number;
   }
 
-  /** Puts a newer configuration in force; false for an old one, an error for one that cannot be read. */
-  adopt(configuration: Configuration): Result<boolean, string> {
+  /** Applies a newer configuration; false for an old version, an error for text that cannot be parsed. */
+  apply(configuration: Configuration): Result<boolean, string> {
     if (configuration.version <= this.version) return ok(false);
     const manifest = parse(configuration.manifest);
     if (manifest.isErr()) return err(manifest.error);
     const retired = parse(configuration.retired || '{}').unwrapOr({ services: [] });
     const services = [...(retired.services ?? []), ...(manifest.value.services ?? [])];
-    // A removed service keeps its limits for the work in flight.
+    // Removed services keep their limits for the work in flight.
     services.forEach((service) => this.limits.set(service.name, service));
-    return ok(this.newest.adopt(configuration));
+    return ok(this.versioned.adopt(configuration));
   }
 
-  /** How long after its creation a job of the service is kept, milliseconds. */
+  /** How long after its creation a job's record is kept, milliseconds. */
   retentionMs(service: string): number {
     return this.limits.get(service)?.retentionMs ?? DEFAULT_RETENTION_MS;
   }
 
-  /** Largest output of one task of the service. */
+  /** Largest output of one task of the service, bytes. */
   maxOutputBytes(service: string): number {
     return this.limits.get(service)?.maxOutputBytes ?? DEFAULT_MAX_OUTPUT_BYTES;
   }
--- a/src/sidecar/Announcement.ts
+++ b/src/sidecar/Announcement.ts
@@ -1,10 +1,10 @@
-/** What a backend server says of itself to its sidecar. */
+/** What a backend server announces to its sidecar. */
 export default interface Announcement {
   readonly service: string;
-  /** Where it takes tasks, "ip:port". */
+  /** Address at which it accepts tasks, "ip:port". */
   readonly address: string;
-  /** Tasks that it runs at once. */
+  /** Number of tasks that it runs concurrently. */
   readonly slots: number;
-  /** Connections that it accepts from its sidecar. */
+  /** Number of concurrent connections that it accepts from its sidecar. */
   readonly connections: number;
 }
--- a/src/sidecar/BackendClient.ts
+++ b/src/sidecar/BackendClient.ts
@@ -4,12 +4,12 @@
 import type BackendCall from './BackendCall';
 import type BackendError from './BackendError';
 
-/** How a sidecar reaches its backend server. */
+/** Client through which a sidecar runs tasks at its backend server. */
 export default interface BackendClient {
   /**
-   * Hands over one task. Ends when the backend server has answered or its
-   * connection has closed, never earlier. The signal asks it to stop, by ending
-   * this side of the connection; a backend server may finish the task all the same.
+   * Runs one task. Resolves when the backend server has answered or its
+   * connection has closed, never earlier. The signal asks the backend server to
+   * stop by half-closing the connection; it may still finish the task.
    */
   run(
     backend: Announcement,
--- a/src/sidecar/BackendConnection.ts
+++ b/src/sidecar/BackendConnection.ts
@@ -3,7 +3,7 @@
 import type BackendAnswer from './BackendAnswer';
 import type BackendCall from './BackendCall';
 
-/** One connection to a backend server, for one task at a time. */
+/** An HTTP connection to a backend server that carries one task at a time. */
 export default class BackendConnection {
   private readonly client: Client;
 
@@ -18,32 +18,33 @@
           callback(...args);
         });
       },
-      // The timeouts of tasks are the sidecar's, and do not end the request.
+      // The sidecar applies task timeouts itself; a timeout does not end the request.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
   }
 
-  /** Creates a connection that opens with its first task. */
-  static to(address: string): BackendConnection {
+  /** Creates a connection to "ip:port" that opens with its first task. */
+  static create(address: string): BackendConnection {
     return new BackendConnection(address);
   }
 
   /**
-   * Hands over a task and returns the answer. The signal only ends this side of
-   * the connection: the backend server is seen to stop when it ends its own.
+   * Sends a task and returns the answer; rejects when the connection fails. The
+   * signal half-closes the connection: the backend server is known to have
+   * stopped once it closes its side.
    */
   async post(call: BackendCall, signal: AbortSignal): Promise<BackendAnswer> {
-    const hangUp = (): void => this.hangUp();
-    signal.addEventListener('abort', hangUp, { once: true });
+    const onAbort = (): void => this.halfClose();
+    signal.addEventListener('abort', onAbort, { once: true });
     try {
       return await this.request(call);
     } finally {
-      signal.removeEventListener('abort', hangUp);
+      signal.removeEventListener('abort', onAbort);
     }
   }
 
-  /** Closes the connection; a task on it is lost. */
+  /** Closes the connection; a task in flight on it fails. */
   close(): void {
     this.client.destroy().catch(() => undefined);
   }
@@ -60,7 +61,7 @@
     return { ok, output, reason: ok ? '' : `backend server answered ${res.statusCode}` };
   }
 
-  private hangUp(): void {
+  private halfClose(): void {
     if (this.socket) this.socket.end();
     else this.close();
   }
--- a/src/sidecar/BackendDesk.ts
+++ b/src/sidecar/BackendDesk.ts
@@ -10,9 +10,9 @@
 const validate = new Ajv({ allErrors: true }).compile<Announcement>(announcementSchema);
 
 interface BackendDeskOptions {
-  /** Takes or renews an announcement and returns the milliseconds to the next renewal; undefined when it takes none. */
+  /** Accepts or renews an announcement and returns the milliseconds until the next renewal; undefined during shutdown. */
   readonly announce: (backend: Announcement) => number | undefined;
-  /** Ends the announcement. */
+  /** Withdraws the announcement. */
   readonly withdraw: () => void;
 }
 
@@ -24,15 +24,15 @@
 type Handler = (req: IncomingMessage) => Answer | Promise<Answer>;
 
 /**
- * The HTTP address where a backend server announces itself to its sidecar:
- * `PUT /v1/backend` announces and renews, `DELETE /v1/backend` leaves.
+ * The HTTP server to which a backend server announces itself: `PUT /v1/backend`
+ * announces or renews, `DELETE /v1/backend` withdraws the announcement.
  */
 export default class BackendDesk {
   private readonly server: Server;
 
   private readonly handlers: Readonly<Record<string, Handler>> = {
-    PUT: (req) => this.put(req),
-    DELETE: () => this.remove(),
+    PUT: (req) => this.handlePut(req),
+    DELETE: () => this.handleDelete(),
   };
 
   private constructor(private readonly opts: BackendDeskOptions) {
@@ -41,20 +41,20 @@
     });
   }
 
-  /** Creates a desk that does not listen yet. */
+  /** Creates a server that does not listen yet. */
   static create(opts: BackendDeskOptions): BackendDesk {
     return new BackendDesk(opts);
   }
 
-  /** Listens at "ip:port" and returns the address in use. Rejects when the address cannot be had. */
+  /** Listens on "ip:port" and returns the bound address. Rejects when the address cannot be bound. */
   async listen(address: string): Promise<string> {
-    const { host, port } = split(address);
-    // A backend server whose connection could not be accepted announces itself again.
+    const { host, port } = parseAddress(address);
+    // Accept errors are ignored: the backend server repeats its announcement.
     await openServer(this.server, { host, port }, () => undefined);
     return `${host}:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Stops listening and ends all connections. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -74,31 +74,31 @@
   }
 
   private async answer(req: IncomingMessage): Promise<Answer> {
-    if (req.url !== '/v1/backend') return failure(404, ['there is only /v1/backend']);
+    if (req.url !== '/v1/backend') return errorAnswer(404, ['there is only /v1/backend']);
     const handler = this.handlers[req.method ?? ''];
-    if (!handler) return failure(405, ['use PUT to announce or renew, DELETE to leave']);
+    if (!handler) return errorAnswer(405, ['use PUT to announce or renew, DELETE to leave']);
     return handler(req);
   }
 
-  private async put(req: IncomingMessage): Promise<Answer> {
-    const announcement = readAnnouncement(await readText(req));
-    if (announcement.isErr()) return failure(400, announcement.error);
+  private async handlePut(req: IncomingMessage): Promise<Answer> {
+    const announcement = parseAnnouncement(await readRequestText(req));
+    if (announcement.isErr()) return errorAnswer(400, announcement.error);
     const renewMs = this.opts.announce(announcement.value);
-    if (renewMs === undefined) return failure(503, ['the sidecar is leaving']);
+    if (renewMs === undefined) return errorAnswer(503, ['the sidecar is leaving']);
     return { status: 200, body: { renewMs } };
   }
 
-  private remove(): Answer {
+  private handleDelete(): Answer {
     this.opts.withdraw();
     return { status: 200, body: {} };
   }
 }
 
-function failure(status: number, errors: readonly string[]): Answer {
+function errorAnswer(status: number, errors: readonly string[]): Answer {
   return { status, body: { errors } };
 }
 
-async function readText(req: IncomingMessage): Promise<string | undefined> {
+async function readRequestText(req: IncomingMessage): Promise<string | undefined> {
   const chunks: Buffer[] = [];
   let bytes = 0;
   for await (const chunk of req as AsyncIterable<Buffer>) {
@@ -108,11 +108,11 @@
   return bytes > MAX_BODY_BYTES ? undefined : Buffer.concat(chunks).toString('utf8');
 }
 
-function readAnnouncement(text: string | undefined): Result<Announcement, readonly string[]> {
+function parseAnnouncement(text: string | undefined): Result<Announcement, readonly string[]> {
   if (text === undefined) return err([`the body exceeds ${MAX_BODY_BYTES} bytes`]);
   const value = parseJson(text);
-  if (!validate(value)) return err((validate.errors ?? []).map(describe));
-  const errors = faultsOf(value);
+  if (!validate(value)) return err((validate.errors ?? []).map(formatError));
+  const errors = semanticErrors(value);
   return errors.length > 0 ? err(errors) : ok(value);
 }
 
@@ -124,20 +124,20 @@
   }
 }
 
-function describe(error: { instancePath: string; message?: string }): string {
-  const place = error.instancePath.slice(1).replaceAll('/', '.') || 'body';
-  return `${place}: ${error.message ?? 'is not valid'}`;
+function formatError(error: { instancePath: string; message?: string }): string {
+  const field = error.instancePath.slice(1).replaceAll('/', '.') || 'body';
+  return `${field}: ${error.message ?? 'is not valid'}`;
 }
 
-function faultsOf(value: Announcement): string[] {
-  const { host, port } = split(value.address);
+function semanticErrors(value: Announcement): string[] {
+  const { host, port } = parseAddress(value.address);
   const errors: string[] = [];
   if (!isIP(host) || !(port > 0 && port < 65_536)) errors.push('address: must be "ip:port"');
   if (value.connections < value.slots) errors.push('connections: must be at least slots');
   return errors;
 }
 
-function split(address: string): { host: string; port: number } {
+function parseAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   const port = address.slice(colon + 1);
   return {
--- a/src/sidecar/BackendError.ts
+++ b/src/sidecar/BackendError.ts
@@ -1,8 +1,8 @@
-/** Why a task has no answer from its backend server. */
+/** Why a call to a backend server ended without an answer. */
 export default interface BackendError {
   /**
-   * `unsent`: the request certainly did not leave, so the task did not run.
-   * `lost`: the connection ended before the answer; the task may have run.
+   * `unsent`: the request is known not to have been sent, so the task did not run.
+   * `lost`: the connection closed before the answer; the task may have run.
    */
   readonly kind: 'unsent' | 'lost';
   readonly reason: string;
--- a/src/sidecar/LedgerJob.ts
+++ b/src/sidecar/LedgerJob.ts
@@ -1,6 +1,6 @@
 import type LedgerTask from './LedgerTask';
 
-/** What a sidecar knows of one job: everything of it that was started here. */
+/** Ledger record of one job: all of its task attempts that were started at this sidecar. */
 export default interface LedgerJob {
   readonly job: string;
   readonly service: string;
@@ -9,7 +9,8 @@
   readonly size: number;
   /** When the caller created the job, milliseconds since the epoch. */
   readonly createdMs: number;
-  /** Incarnation of the entry that results go to. */
+  /** Incarnation of the entry that owns the job and receives its results. */
   owner: string;
+  /** Attempts by the ledger's task key. */
   readonly tasks: Map<number, LedgerTask>;
 }
--- a/src/sidecar/LedgerTask.ts
+++ b/src/sidecar/LedgerTask.ts
@@ -1,10 +1,10 @@
 import type { TaskStatus } from '../gen/magnoliakeel/v1/peer_pb';
 
-/** One attempt of a task, from before its start until the job's record expires. */
+/** Ledger record of one attempt of a task, kept from before its start until the job's record expires. */
 export default interface LedgerTask {
   readonly index: number;
   readonly attempt: number;
-  /** Absent while the task runs. */
+  /** Undefined while the task runs. */
   result?: TaskResult;
 }
 
--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -17,73 +17,73 @@
 import PROTOCOL_VERSION from '../link/PROTOCOL_VERSION';
 import type PeerMessage from '../link/PeerMessage';
 import type Announcement from './Announcement';
-import BackendLease from './BackendLease';
-import Credits from './Credits';
-import Dialler from './Dialler';
-import Entries from './Entries';
-import EntryPeer from './EntryPeer';
-import Evidence from './Evidence';
+import AnnouncementLease from './AnnouncementLease';
+import CreditAllocator from './CreditAllocator';
+import EntryDialler from './EntryDialler';
+import LinkedEntries from './LinkedEntries';
+import LinkedEntry from './LinkedEntry';
+import LedgerResponder from './LedgerResponder';
 import Ledger from './Ledger';
-import Services from './Services';
+import ActiveConfiguration from './ActiveConfiguration';
 import type SidecarOptions from './SidecarOptions';
-import type SidecarParts from './SidecarParts';
-import Slots from './Slots';
-import Tasks from './Tasks';
+import type SidecarMessageContext from './SidecarMessageContext';
+import SlotTable from './SlotTable';
+import TaskRunner from './TaskRunner';
 import isMember from '../core/isMember';
-import messageHandlers from './messageHandlers';
+import sidecarMessageHandlers from './sidecarMessageHandlers';
 
-const EXPIRE_INTERVAL_MS = 10_000;
-/** How long entries get to read the last messages and close their links. */
-const LINGER_MS = 200;
+const EXPIRY_INTERVAL_MS = 10_000;
+/** How long a shutdown waits for entries to read the last messages and close their links. */
+const LINK_CLOSE_TIMEOUT_MS = 200;
 
 /**
- * The process beside a backend server. It hands out the backend server's slots
- * as credits, starts tasks and remembers what it started.
+ * The process beside a backend server. It issues the backend server's slots to
+ * entries as credits, starts tasks and keeps a ledger of those it started.
  */
 export default class Sidecar {
   private readonly view = Versioned.of<View>(create(ViewSchema), (view) => view.number);
 
-  private readonly entries = Entries.create();
+  private readonly entries = LinkedEntries.create();
 
-  private readonly slots = Slots.create();
+  private readonly slots = SlotTable.create();
 
-  private readonly services = Services.create();
+  private readonly configuration = ActiveConfiguration.create();
 
   private readonly ledger: Ledger;
 
-  private readonly lease: BackendLease;
+  private readonly lease: AnnouncementLease;
 
-  private readonly credits: Credits;
+  private readonly credits: CreditAllocator;
 
-  private readonly tasks: Tasks;
+  private readonly taskRunner: TaskRunner;
 
-  private readonly evidence: Evidence;
+  private readonly responder: LedgerResponder;
 
-  private readonly dialler: Dialler;
+  private readonly dialler: EntryDialler;
 
-  private readonly parts: SidecarParts;
+  private readonly messageContext: SidecarMessageContext;
 
   private isLeaving = false;
 
-  /** Time of the last sign that this process runs. */
-  private beatAt = 0;
+  /** Time of the last tick; a long gap means that this process was paused. */
+  private lastTickAt = 0;
 
   private constructor(private readonly opts: SidecarOptions) {
     const { entries, slots, view } = this;
     this.ledger = Ledger.create({
       maxBytes: opts.ledgerBytes,
       skewMs: opts.skewMs,
-      retentionMs: (service) => this.services.retentionMs(service),
+      retentionMs: (service) => this.configuration.retentionMs(service),
     });
-    this.lease = BackendLease.create({
+    this.lease = AnnouncementLease.create({
       timer: opts.timer,
       renewMs: opts.renewMs,
-      opened: (backend) => this.openBackend(backend),
-      closed: (backend) => this.closeBackend(backend),
+      onOpen: (backend) => this.handleBackendOpen(backend),
+      onClose: (backend) => this.handleBackendClose(backend),
     });
     const backend = (): Announcement | undefined => this.lease.current;
     const { ledger } = this;
-    this.credits = Credits.of({
+    this.credits = CreditAllocator.of({
       slots,
       entries,
       ledger,
@@ -92,7 +92,7 @@
       service: () => backend()?.service,
     });
     const { credits } = this;
-    this.tasks = Tasks.of({
+    this.taskRunner = TaskRunner.of({
       entries,
       ledger,
       slots,
@@ -103,23 +103,23 @@
       client: opts.client,
       counters: opts.counters,
       tracer: opts.tracer,
-      unreachable: (lost) => this.loseBackend(lost),
-      maxOutputBytes: (service) => this.services.maxOutputBytes(service),
+      onUnreachable: (lost) => this.handleBackendUnreachable(lost),
+      maxOutputBytes: (service) => this.configuration.maxOutputBytes(service),
     });
-    this.evidence = Evidence.of({ entries, ledger, view, tasks: this.tasks });
+    this.responder = LedgerResponder.of({ entries, ledger, view, taskRunner: this.taskRunner });
     this.dialler = this.createDialler();
-    this.parts = {
+    this.messageContext = {
       view,
       credits,
-      configurations: this.services.newest,
+      configurations: this.configuration.versioned,
       heartbeat: () => this.heartbeat(),
       lease: this.lease,
-      tasks: this.tasks,
-      evidence: this.evidence,
-      dropStrangers: () => this.dropStrangers(),
-      putInForce: (configuration) => this.putInForce(configuration),
+      taskRunner: this.taskRunner,
+      responder: this.responder,
+      closeNonMemberLinks: () => this.closeNonMemberLinks(),
+      applyConfiguration: (configuration) => this.applyConfiguration(configuration),
     };
-    view.subscribe(() => this.viewChanged());
+    view.subscribe(() => this.handleViewChange());
   }
 
   /** Creates a sidecar that does nothing before `run`. */
@@ -127,73 +127,73 @@
     return new Sidecar(opts);
   }
 
-  /** Number of the newest view known; 0 before the first. */
+  /** Number of the newest view received; 0 before the first. */
   get viewNumber(): bigint {
     return this.view.number;
   }
 
-  /** Version of the configuration in force; 0 before the first. */
+  /** Version of the configuration in effect; 0 before the first. */
   get configurationVersion(): bigint {
-    return this.services.version;
+    return this.configuration.version;
   }
 
-  /** Whether it can be given tasks: linked, with a backend server announced and not leaving. */
+  /** Whether it can accept tasks: linked to an entry, with an announced backend server and not shutting down. */
   get isReady(): boolean {
     return !this.isLeaving && this.entries.size > 0 && this.lease.current !== undefined;
   }
 
-  /** Entries linked now. */
+  /** Number of linked entries. */
   get linkCount(): number {
     return this.entries.size;
   }
 
-  /** Tasks that the backend server has now. */
+  /** Number of tasks at the backend server. */
   get runningCount(): number {
-    return this.tasks.count;
+    return this.taskRunner.count;
   }
 
-  /** Slots that take tasks. */
+  /** Number of slots that accept tasks. */
   get slotCount(): number {
-    return this.slots.open;
+    return this.slots.openCount;
   }
 
-  /** Estimated memory of the evidence. */
+  /** Estimated memory of the ledger, bytes. */
   get ledgerBytes(): number {
     return this.ledger.usedBytes;
   }
 
   /**
-   * Takes or renews the backend server's announcement. Returns after how many
-   * milliseconds to renew it, or undefined when the sidecar is leaving.
+   * Accepts or renews the backend server's announcement. Returns the renewal
+   * interval in milliseconds, or undefined while the sidecar is shutting down.
    */
   announce(backend: Announcement): number | undefined {
     if (this.isLeaving) return undefined;
     return this.lease.announce(backend);
   }
 
-  /** The backend server takes no further tasks; those in flight are awaited. */
+  /** Stops sending tasks to the backend server; those in flight are finished. */
   withdrawBackend(): void {
     this.lease.end();
   }
 
-  /** Works until the signal aborts, then leaves: no new starts, tasks in flight are awaited. */
+  /** Runs until the signal aborts, then shuts down gracefully: refuses new starts and waits for tasks in flight. */
   async run(signal: AbortSignal): Promise<void> {
     const { timer, heartbeat } = this.opts;
-    this.beatAt = timer.now();
-    const beats = timer.every(heartbeat.intervalMs, () => this.beat());
-    const expiry = timer.every(EXPIRE_INTERVAL_MS, () => this.expire());
-    this.dialler.retarget();
-    await aborted(signal);
-    await this.leave();
-    beats.cancel();
+    this.lastTickAt = timer.now();
+    const ticks = timer.every(heartbeat.intervalMs, () => this.tick());
+    const expiry = timer.every(EXPIRY_INTERVAL_MS, () => this.expireRecords());
+    this.dialler.updateAddresses();
+    await whenAborted(signal);
+    await this.shutDown();
+    ticks.cancel();
     expiry.cancel();
     this.lease.end();
     await this.dialler.stop();
   }
 
-  private createDialler(): Dialler {
+  private createDialler(): EntryDialler {
     const { timer, random, network, counters, entries, links, incarnation } = this.opts;
-    return Dialler.create({
+    return EntryDialler.create({
       timer,
       random,
       network,
@@ -201,11 +201,11 @@
       links,
       view: this.view,
       seeds: entries,
-      key: incarnation,
+      rankingKey: incarnation,
       hello: (session) => this.hello(session),
       serve: (link) => this.serve(link),
-      failed: (address, error) =>
-        this.opts.log?.(`serving the link to ${address} failed: ${error}`),
+      onError: (address, error) =>
+        this.opts.log?.(`error while serving the link to ${address}: ${error}`),
     });
   }
 
@@ -225,135 +225,137 @@
     });
   }
 
-  /** Serves one link to its end. Messages that are unread at its end are dropped. */
+  /** Serves one link until it ends, and returns whether the peer is a member. Unread messages are dropped. */
   private async serve(link: Link): Promise<boolean> {
-    const peer = EntryPeer.of(link, this.opts.timer);
-    if (!this.isWanted(link.peer) || !this.entries.add(peer)) {
+    const peer = LinkedEntry.fromLink(link, this.opts.timer);
+    if (!this.isEntryOfCluster(link.peer) || !this.entries.add(peer)) {
       link.close();
       return false;
     }
-    this.opened(peer);
+    this.handleLinkOpened(peer);
     for await (const message of link.messages()) {
-      if (link.closed.aborted || this.isHeldUp()) break;
-      this.handle(peer, message);
+      if (link.closed.aborted || this.wasPaused()) break;
+      this.handleMessage(peer, message);
     }
     link.close();
     const isUseful = isMember(this.view.current, peer.incarnation);
-    this.lost(peer);
+    this.handleLinkEnded(peer);
     return isUseful;
   }
 
-  private isWanted(peer: Hello): boolean {
+  private isEntryOfCluster(peer: Hello): boolean {
     return peer.role === Role.ENTRY && peer.cluster === this.opts.cluster;
   }
 
-  private handle(peer: EntryPeer, message: PeerMessage): void {
-    handleMessage(messageHandlers, { parts: this.parts, peer }, message);
+  private handleMessage(peer: LinkedEntry, message: PeerMessage): void {
+    handleMessage(sidecarMessageHandlers, { context: this.messageContext, peer }, message);
   }
 
-  private opened(peer: EntryPeer): void {
+  private handleLinkOpened(peer: LinkedEntry): void {
     this.opts.counters.links += 1;
     this.opts.log?.(`linked to entry ${peer.link.peer.instance}`);
     KeepAlive.start(peer.link, this.opts.timer, this.opts.heartbeat, {
       heartbeat: () => this.heartbeat(),
-      onSuspicionChange: (suspected) => peer.suspect(suspected),
+      onSuspicionChange: (suspected) => peer.setSuspected(suspected),
     });
-    const { version } = this.services;
+    const { version } = this.configuration;
     if (version > 0n) peer.send({ case: 'inForce', value: create(InForceSchema, { version }) });
-    this.credits.spread();
+    this.credits.distribute();
   }
 
-  private lost(peer: EntryPeer): void {
+  private handleLinkEnded(peer: LinkedEntry): void {
     this.opts.log?.(`link to entry ${peer.link.peer.instance} ended`);
     this.entries.remove(peer);
-    this.credits.dropEntry(peer.incarnation);
+    this.credits.removeEntry(peer.incarnation);
   }
 
-  private viewChanged(): void {
-    this.evidence.fenceAll();
-    this.dropStrangers();
-    this.dialler.retarget();
-    this.credits.spread();
+  private handleViewChange(): void {
+    this.responder.confirmViewToAll();
+    this.closeNonMemberLinks();
+    this.dialler.updateAddresses();
+    this.credits.distribute();
   }
 
-  private dropStrangers(): void {
+  private closeNonMemberLinks(): void {
     if (this.view.number === 0n) return;
     this.entries
       .all()
-      .filter((peer) => peer.hasSentView && !isMember(this.view.current, peer.incarnation))
+      .filter((peer) => peer.hasReportedView && !isMember(this.view.current, peer.incarnation))
       .forEach((peer) => peer.link.close());
   }
 
-  private putInForce(configuration: Configuration): void {
-    const adopted = this.services.adopt(configuration);
-    if (adopted.isErr()) {
-      this.opts.log?.(`configuration ${configuration.version} is unreadable: ${adopted.error}`);
+  private applyConfiguration(configuration: Configuration): void {
+    const applied = this.configuration.apply(configuration);
+    if (applied.isErr()) {
+      this.opts.log?.(`cannot parse configuration ${configuration.version}: ${applied.error}`);
       return;
     }
-    if (!adopted.value) return;
+    if (!applied.value) return;
     this.opts.log?.(`configuration ${configuration.version} is in force`);
     const value = create(InForceSchema, { version: configuration.version });
     this.entries.broadcast({ case: 'inForce', value });
   }
 
-  private openBackend(backend: Announcement): void {
-    this.opts.log?.(`backend server ${backend.address} offers ${backend.slots} slots`);
-    this.slots.openUp(backend.slots);
-    this.credits.spread();
+  private handleBackendOpen(backend: Announcement): void {
+    this.opts.log?.(`backend server ${backend.address} announced with ${backend.slots} slots`);
+    this.slots.open(backend.slots);
+    this.credits.distribute();
   }
 
-  private closeBackend(backend: Announcement): void {
-    this.opts.log?.(`backend server ${backend.address} takes no further tasks`);
-    this.credits.withdraw(false);
-    this.tasks.startWaiting();
+  private handleBackendClose(backend: Announcement): void {
+    this.opts.log?.(
+      `backend server ${backend.address} is withdrawn: no further tasks are sent to it`,
+    );
+    this.credits.withdrawAll(false);
+    this.taskRunner.startQueued();
     this.opts.client.forget(backend);
   }
 
-  private loseBackend(backend: Announcement): void {
+  private handleBackendUnreachable(backend: Announcement): void {
     if (this.lease.current?.address === backend.address) this.lease.end();
   }
 
   /**
-   * After this process has been held up for long, what waits on its links is
-   * out of date: the links are closed, and the new ones tell what was not run.
+   * After a long pause of this process the unread messages on its links are out of
+   * date: the links are closed, and on the new ones entries learn what was not run.
    */
-  private beat(): void {
-    if (this.isHeldUp()) this.entries.all().forEach((peer) => peer.link.close());
-    this.beatAt = this.opts.timer.now();
+  private tick(): void {
+    if (this.wasPaused()) this.entries.all().forEach((peer) => peer.link.close());
+    this.lastTickAt = this.opts.timer.now();
   }
 
-  private isHeldUp(): boolean {
-    return this.opts.timer.now() - this.beatAt > this.opts.heartbeat.closeMs;
+  private wasPaused(): boolean {
+    return this.opts.timer.now() - this.lastTickAt > this.opts.heartbeat.closeMs;
   }
 
   private heartbeat(): PeerMessage {
     const value = create(HeartbeatSchema, {
-      configurationVersion: this.services.version,
+      configurationVersion: this.configuration.version,
       viewNumber: this.view.number,
     });
     return { case: 'heartbeat', value };
   }
 
-  private expire(): void {
+  private expireRecords(): void {
     this.ledger.expire(this.opts.timer.wall());
-    this.credits.spread();
+    this.credits.distribute();
   }
 
-  private async leave(): Promise<void> {
+  private async shutDown(): Promise<void> {
     const { timer, drainMs } = this.opts;
-    this.opts.log?.(`leaving with ${this.tasks.count} tasks in flight`);
+    this.opts.log?.(`shutting down with ${this.taskRunner.count} tasks in flight`);
     this.isLeaving = true;
-    this.tasks.leave();
-    this.credits.withdraw(true);
-    await Promise.race([this.tasks.drain(), timer.sleep(drainMs)]);
-    this.tasks.abandon();
+    this.taskRunner.stopAccepting();
+    this.credits.withdrawAll(true);
+    await Promise.race([this.taskRunner.whenIdle(), timer.sleep(drainMs)]);
+    this.taskRunner.loseRemaining();
     this.entries.broadcast({ case: 'goodbye', value: create(GoodbyeSchema) });
-    const closed = this.entries.all().map((peer) => aborted(peer.link.closed));
-    await Promise.race([Promise.all(closed), timer.sleep(LINGER_MS)]);
+    const closed = this.entries.all().map((peer) => whenAborted(peer.link.closed));
+    await Promise.race([Promise.all(closed), timer.sleep(LINK_CLOSE_TIMEOUT_MS)]);
   }
 }
 
-function aborted(signal: AbortSignal): Promise<void> {
+function whenAborted(signal: AbortSignal): Promise<void> {
   if (signal.aborted) return Promise.resolve();
   return new Promise((resolve) => {
     signal.addEventListener('abort', () => resolve(), { once: true });
--- a/src/sidecar/SidecarOptions.ts
+++ b/src/sidecar/SidecarOptions.ts
@@ -5,14 +5,14 @@
 import type BackendClient from './BackendClient';
 import type SidecarCounters from './SidecarCounters';
 
-/** What a sidecar is made of. Times are in milliseconds. */
+/** Dependencies and settings of a sidecar. Times are in milliseconds. */
 export default interface SidecarOptions {
   readonly timer: TimerService;
   readonly random: Random;
   readonly network: Network;
   readonly client: BackendClient;
   readonly counters: SidecarCounters;
-  /** Traces starts; undefined when nothing is traced. */
+  /** Traces start requests; undefined when tracing is off. */
   readonly tracer?: Tracer;
   readonly cluster: string;
   readonly instance: string;
@@ -20,26 +20,26 @@
   readonly zone: string;
   /** Addresses of entries, "ip:port", from the settings. */
   readonly entries: readonly string[];
-  /** Members of the view to be linked to. */
+  /** Number of members of the view to link to. */
   readonly links: number;
   readonly heartbeat: {
-    /** Silence after which a heartbeat is sent. */
+    /** Time without a sent message after which a heartbeat is sent. */
     readonly intervalMs: number;
-    /** Silence after which an entry is given no credits. */
+    /** Time without a received message after which an entry is suspected and issued no credits. */
     readonly suspectMs: number;
-    /** Silence after which a link is closed. */
+    /** Time without a received message after which a link is closed. */
     readonly closeMs: number;
   };
-  /** Memory for the evidence of starts. */
+  /** Memory limit of the ledger of started tasks, bytes. */
   readonly ledgerBytes: number;
-  /** By how much clocks may differ. */
+  /** Upper bound on the difference between the clocks of two machines. */
   readonly skewMs: number;
-  /** How often the backend server renews its announcement. */
+  /** Interval at which the backend server renews its announcement. */
   readonly renewMs: number;
-  /** How long running tasks are awaited when the sidecar leaves. */
+  /** How long a graceful shutdown waits for running tasks. */
   readonly drainMs: number;
-  /** Address of this process's operators' listener, once it listens; it is told to entries. */
+  /** Address of this process's listener for operators, once it listens; reported to entries in the hello message. */
   readonly operators?: () => string;
-  /** Takes a line for each change of state. */
+  /** Receives a log line for each change of state. */
   readonly log?: (line: string) => void;
 }
--- a/src/sidecar/TaskTrace.ts
+++ b/src/sidecar/TaskTrace.ts
@@ -5,16 +5,16 @@
 import type Tracer from '../observe/Tracer';
 import type Announcement from './Announcement';
 
-/** The spans of one start: the start itself and, in it, the call to the backend server. */
+/** Spans of one start request: the handling of the request and, inside it, the call to the backend server. */
 export default class TaskTrace {
-  private call: Span | undefined;
+  private callSpan: Span | undefined;
 
   private constructor(
-    private readonly start: Span,
+    private readonly startSpan: Span,
     private readonly tracer: Tracer,
   ) {}
 
-  /** Begins the span of a start; undefined when the task is not traced. */
+  /** Begins the span of a start request; undefined when the task is not traced. */
   static begin(tracer: Tracer | undefined, start: Start, entry: string): TaskTrace | undefined {
     const span = tracer?.hop('start', SpanKind.SERVER, start.traceparent);
     if (!span) return undefined;
@@ -24,33 +24,33 @@
     return new TaskTrace(span, tracer!);
   }
 
-  /** The start was refused. */
+  /** Ends the spans with the cause for which the start was refused. */
   refused(cause: RefusalCause): void {
     this.callEnded();
-    this.start.set({ refused: refusals[cause]! }).fail(`refused: ${refusals[cause]}`);
-    this.start.end();
+    this.startSpan.set({ refused: refusalLabels[cause]! }).fail(`refused: ${refusalLabels[cause]}`);
+    this.startSpan.end();
   }
 
-  /** The backend server is about to be called; returns the `traceparent` for it. */
+  /** Begins the span of the call to the backend server and returns the `traceparent` to send with it. */
   calling(backend: Announcement): string {
-    this.call = this.tracer.hop('call', SpanKind.CLIENT, this.start.traceparent);
-    this.call?.set({ 'backend.address': backend.address });
-    return this.call?.traceparent ?? '';
+    this.callSpan = this.tracer.hop('call', SpanKind.CLIENT, this.startSpan.traceparent);
+    this.callSpan?.set({ 'backend.address': backend.address });
+    return this.callSpan?.traceparent ?? '';
   }
 
-  /** The call has ended, whether or not its result still counts. */
+  /** Ends the span of the call, also when the task's result was already reported. */
   callEnded(failure?: string): void {
-    if (failure) this.call?.fail(failure);
-    this.call?.end();
+    if (failure) this.callSpan?.fail(failure);
+    this.callSpan?.end();
   }
 
-  /** The task has its result. */
+  /** Ends the span of the start with the task's result. */
   concluded(status: TaskStatus, reason: string): void {
-    this.start.set({ status: statuses[status]! });
-    if (status !== TaskStatus.COMPLETED) this.start.fail(reason);
-    this.start.end();
+    this.startSpan.set({ status: statusLabels[status]! });
+    if (status !== TaskStatus.COMPLETED) this.startSpan.fail(reason);
+    this.startSpan.end();
   }
 }
 
-const refusals = enumLabels(RefusalCause);
-const statuses = enumLabels(TaskStatus);
+const refusalLabels = enumLabels(RefusalCause);
+const statusLabels = enumLabels(TaskStatus);
--- a/src/sidecar/UndiciBackendClient.ts
+++ b/src/sidecar/UndiciBackendClient.ts
@@ -6,7 +6,7 @@
 import BackendConnection from './BackendConnection';
 import type BackendError from './BackendError';
 
-/** Errors of a connection that was never there, so that no request can have left on it. */
+/** Errors of a connection that was never established, so that no request was sent. */
 const UNSENT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -15,12 +15,12 @@
 ]);
 
 /**
- * Reaches a backend server by HTTP, one request a task. Each running task has
- * a connection of its own, so there are never more than the slots, which an
- * announcement bounds by its connections.
+ * Calls a backend server over HTTP, one request per task. Each running task has
+ * its own connection, so there are at most as many as slots; an announcement
+ * never has more slots than connections.
  */
 export default class UndiciBackendClient implements BackendClient {
-  /** Idle connections of the backend servers in use, by address; the last used is the last in the list. */
+  /** Idle connections of the backend servers in use, by address; the most recently used is last. */
   private readonly idle = new Map<string, BackendConnection[]>();
 
   private constructor() {}
@@ -35,7 +35,7 @@
     call: BackendCall,
     signal: AbortSignal,
   ): ResultAsync<BackendAnswer, BackendError> {
-    return ResultAsync.fromPromise(this.post(backend.address, call, signal), errorOf);
+    return ResultAsync.fromPromise(this.post(backend.address, call, signal), toBackendError);
   }
 
   forget(backend: Announcement): void {
@@ -50,7 +50,7 @@
   ): Promise<BackendAnswer> {
     const idle = this.idle.get(address) ?? [];
     this.idle.set(address, idle);
-    const connection = idle.pop() ?? BackendConnection.to(address);
+    const connection = idle.pop() ?? BackendConnection.create(address);
     let isReusable = false;
     try {
       const answer = await connection.post(call, signal);
@@ -63,7 +63,7 @@
   }
 }
 
-function errorOf(cause: unknown): BackendError {
+function toBackendError(cause: unknown): BackendError {
   const { code, message } = cause as { code?: string; message?: string };
   const kind = code !== undefined && UNSENT_CODES.has(code) ? 'unsent' : 'lost';
   return { kind, reason: message ?? String(cause) };
--- a/src/sidecar/announcementSchema.ts
+++ b/src/sidecar/announcementSchema.ts
@@ -1,4 +1,4 @@
-/** JSON Schema of what a backend server announces to its sidecar. */
+/** JSON Schema of a backend server's announcement to its sidecar. */
 const announcementSchema = {
   type: 'object',
   additionalProperties: false,
--- a/src/sidecar/registerSidecarMetrics.ts
+++ b/src/sidecar/registerSidecarMetrics.ts
@@ -3,15 +3,15 @@
 import type Sidecar from './Sidecar';
 import type SidecarCounters from './SidecarCounters';
 
-/** Has the state of a sidecar and what it has counted read whenever its metrics are shown. */
+/** Registers readers of a sidecar's state and counters, which are called whenever its metrics are rendered. */
 export default function registerSidecarMetrics(
   sidecar: Sidecar,
   counters: SidecarCounters,
   metrics: Metrics,
 ): void {
   metrics.read('starts_total', () => [{ value: counters.starts }]);
-  metrics.read('start_refusals_total', () => readGroup(counters.refusals));
-  metrics.read('done_total', () => readGroup(counters.done));
+  metrics.read('start_refusals_total', () => groupReadings(counters.refusals));
+  metrics.read('done_total', () => groupReadings(counters.done));
   metrics.read('dials_total', () => [{ value: counters.dials }]);
   metrics.read('links_opened_total', () => [{ value: counters.links }]);
   metrics.read('slots', () => [{ value: sidecar.slotCount }]);
@@ -22,6 +22,6 @@
   metrics.read('configuration_version', () => [{ value: Number(sidecar.configurationVersion) }]);
 }
 
-function readGroup(group: Readonly<Record<string, number>>): Reading[] {
+function groupReadings(group: Readonly<Record<string, number>>): Reading[] {
   return Object.entries(group).map(([name, value]) => ({ labels: [name.toLowerCase()], value }));
 }
--- a/test/support/FakeBackend.ts
+++ b/test/support/FakeBackend.ts
@@ -42,10 +42,10 @@
     this.onRun(call.task);
     if (this.error) return new ResultAsync(Promise.resolve(err(this.error)));
     this.starts.set(call.task, (this.starts.get(call.task) ?? 0) + 1);
-    return new ResultAsync(this.work(call, signal));
+    return new ResultAsync(this.simulateTask(call, signal));
   }
 
-  private async work(
+  private async simulateTask(
     call: BackendCall,
     signal: AbortSignal,
   ): Promise<Result<BackendAnswer, BackendError>> {
--- a/test/support/FakeEntry.ts
+++ b/test/support/FakeEntry.ts
@@ -13,7 +13,7 @@
 import type PeerMessage from '../../src/link/PeerMessage';
 import describeMessage from './describeMessage';
 
-interface StartInit {
+interface StartOptions {
   readonly credit?: Credit;
   readonly owner?: string;
   readonly ms?: number;
@@ -33,7 +33,7 @@
 
   link: Link | undefined;
 
-  private heard: string[] = [];
+  private received: string[] = [];
 
   private constructor(
     readonly name: string,
@@ -56,9 +56,9 @@
   }
 
   /** What was heard since the last call, without heartbeats. */
-  take(): string[] {
-    const taken = this.heard;
-    this.heard = [];
+  takeReceived(): string[] {
+    const taken = this.received;
+    this.received = [];
     return taken;
   }
 
@@ -72,12 +72,12 @@
   }
 
   /** Sends a start of "job/index" with the next credit held, or the one given. */
-  start(name: string, init: StartInit = {}): void {
+  sendStart(name: string, init: StartOptions = {}): void {
     const input = Buffer.from(
       JSON.stringify({ ms: init.ms ?? DEFAULT_TASK_MS, output: init.output }),
     );
     const value = create(StartSchema, {
-      ...{ task: FakeEntry.task(name), service: 'booking', input, digest: 'd', jobSize: 1 },
+      ...{ task: FakeEntry.taskId(name), service: 'booking', input, digest: 'd', jobSize: 1 },
       owner: init.owner ?? this.name,
       credit: init.credit ?? this.credits.shift(),
       timeoutMs: init.timeoutMs ?? DEFAULT_TIMEOUT_MS,
@@ -88,7 +88,7 @@
   }
 
   /** The id of "job/index", attempt 0. */
-  static task(name: string) {
+  static taskId(name: string) {
     const [job = '', index] = name.split('/');
     return create(TaskIdSchema, { job, index: Number(index) });
   }
@@ -96,10 +96,10 @@
   private async serve(link: Link): Promise<void> {
     this.link = link;
     if (this.view) this.sendView(this.view);
-    for await (const message of link.messages()) this.hear(message);
+    for await (const message of link.messages()) this.receive(message);
   }
 
-  private hear(message: PeerMessage): void {
+  private receive(message: PeerMessage): void {
     if (message.case === 'heartbeat') {
       this.send(message);
       return;
@@ -107,6 +107,6 @@
     if (message.case === 'grant') this.credits.push(...message.value.credits);
     if (message.case === 'done' && message.value.credit) this.credits.push(message.value.credit);
     if (message.case === 'withdraw') this.credits = [];
-    this.heard.push(describeMessage(message));
+    this.received.push(describeMessage(message));
   }
 }
--- a/test/support/SidecarCase.ts
+++ b/test/support/SidecarCase.ts
@@ -9,7 +9,7 @@
 import ManualTimer from './ManualTimer';
 import MemoryNetwork from './MemoryNetwork';
 
-interface CaseInit extends Partial<SidecarOptions> {
+interface SidecarCaseOptions extends Partial<SidecarOptions> {
   /** Names of the entries that listen, a letter each. */
   readonly listening?: string;
   /** Names of the members of view 1. */
@@ -19,9 +19,9 @@
 
 /** A sidecar with its backend server announced and linked to entries that a test plays. */
 export default class SidecarCase {
-  readonly leaving = new AbortController();
+  readonly shutdown = new AbortController();
 
-  ended = false;
+  hasStopped = false;
 
   private constructor(
     readonly timer: ManualTimer,
@@ -32,7 +32,7 @@
     private readonly slots: number,
   ) {}
 
-  static async open(init: CaseInit = {}): Promise<SidecarCase> {
+  static async open(init: SidecarCaseOptions = {}): Promise<SidecarCase> {
     const { listening = 'ab', members = listening, slots = 4, ...opts } = init;
     const timer = ManualTimer.create();
     const network = MemoryNetwork.create(timer);
@@ -88,18 +88,18 @@
   }
 
   /** What the entries, all or the one named, heard since the last call, a line each. */
-  heard(only?: string): string {
+  receivedMessages(only?: string): string {
     return Object.entries(this.entries)
-      .flatMap(([name, entry]) => entry.take().map((line) => `${name}: ${line}`))
+      .flatMap(([name, entry]) => entry.takeReceived().map((line) => `${name}: ${line}`))
       .filter((line) => only === undefined || line.startsWith(`${only}:`))
       .join('\n');
   }
 
   private async run(): Promise<void> {
-    const done = this.sidecar.run(this.leaving.signal);
+    const done = this.sidecar.run(this.shutdown.signal);
     done.then(
       () => {
-        this.ended = true;
+        this.hasStopped = true;
       },
       () => undefined,
     );
