--- a/test/sidecarHttp.test.ts
+++ b/test/sidecarHttp.test.ts
@@ -7,14 +7,14 @@
 import type StandInCounts from '../tools/backend/StandInCounts';
 import ManualTimer from './support/ManualTimer';
 
-const closers: (() => Promise<void>)[] = [];
+const cleanups: (() => Promise<void>)[] = [];
 
 afterEach(async () => {
-  await Promise.all(closers.splice(0).map((close) => close()));
+  await Promise.all(cleanups.splice(0).map((cleanUp) => cleanUp()));
 });
 
-it('takes and renews an announcement', async () => {
-  const { put, events } = await openDesk();
+it('accepts an announcement and answers with the renewal interval', async () => {
+  const { put, events } = await openServer();
   expect([await put(announcement('127.0.0.1:4000')), events]).toMatchInlineSnapshot(`
     [
       "200 {"renewMs":1000}",
@@ -30,8 +30,8 @@
   `);
 });
 
-it('says everything that is wrong with an announcement', async () => {
-  const { put } = await openDesk();
+it('reports every error of an invalid announcement', async () => {
+  const { put } = await openServer();
   const answers = [
     await put('{'),
     await put({ slots: 0, extra: 1 }),
@@ -48,8 +48,8 @@
   `);
 });
 
-it('lets the backend server leave, and knows no other path', async () => {
-  const { send, events } = await openDesk();
+it('withdraws on DELETE and rejects other paths and methods', async () => {
+  const { send, events } = await openServer();
   const answers = [await send('DELETE', '/v1/backend'), await send('PUT', '/'), await send('GET')];
   expect([answers, events]).toMatchInlineSnapshot(`
     [
@@ -65,14 +65,14 @@
   `);
 });
 
-it('refuses announcements when the sidecar leaves', async () => {
-  const { put } = await openDesk({ isLeaving: true });
+it('refuses announcements while the sidecar shuts down', async () => {
+  const { put } = await openServer({ isLeaving: true });
   expect(await put(announcement('127.0.0.1:4000'))).toMatchInlineSnapshot(
     `"503 {"errors":["the sidecar is leaving"]}"`,
   );
 });
 
-it('tells completed tasks from failed ones', async () => {
+it('distinguishes completed tasks from failed ones', async () => {
   const run = await openBackend();
   expect([await run({ ms: 0, output: [1] }), await run({ ms: 0, fail: true })])
     .toMatchInlineSnapshot(`
@@ -91,7 +91,7 @@
   `);
 });
 
-it('reports a closed connection as lost', async () => {
+it('reports a connection closed without an answer as lost', async () => {
   const run = await openBackend({ closeMidway: true });
   expect(await run({ ms: 0 })).toMatchInlineSnapshot(`
     {
@@ -101,7 +101,7 @@
   `);
 });
 
-it('ends a cancelled call only when the backend server has closed', async () => {
+it('ends a cancelled call only when the backend server has closed the connection', async () => {
   const run = await openBackend({ hang: true });
   const cancel = new AbortController();
   const ended = run({ ms: 0 }, cancel.signal);
@@ -117,21 +117,21 @@
   const server = BackendStandIn.create(ManualTimer.create(), 1);
   const address = await server.listen('127.0.0.1', 0);
   await server.close();
-  const answer = await callOf(address)({ ms: 0 });
+  const answer = await backendCaller(address)({ ms: 0 });
   expect(answer).toMatchObject({ kind: 'unsent' });
 });
 
-async function openDesk({ isLeaving = false } = {}) {
+async function openServer({ isLeaving = false } = {}) {
   const events: unknown[] = [];
-  const desk = BackendDesk.create({
+  const server = BackendDesk.create({
     announce: (backend) => {
       events.push(backend);
       return isLeaving ? undefined : 1000;
     },
     withdraw: () => events.push('withdraw'),
   });
-  const address = await desk.listen('127.0.0.1:0');
-  closers.push(() => desk.close());
+  const address = await server.listen('127.0.0.1:0');
+  cleanups.push(() => server.close());
   const send = async (method: 'PUT' | 'DELETE' | 'GET', path = '/v1/backend', body?: string) => {
     const res = await request(`http://${address}${path}`, { method, body });
     return [res.statusCode, await res.body.text()].join(' ');
@@ -144,13 +144,13 @@
 async function openBackend(faults: object = {}) {
   const server = BackendStandIn.create(ManualTimer.create(), 1);
   const address = await server.listen('127.0.0.1', 0);
-  closers.push(() => server.close());
+  cleanups.push(() => server.close());
   const body = JSON.stringify(faults);
   await request(`http://${address}/faults`, { method: 'PUT', body });
-  return callOf(address);
+  return backendCaller(address);
 }
 
-function callOf(address: string) {
+function backendCaller(address: string) {
   const client = UndiciBackendClient.create();
   const run = async (input: object, signal = new AbortController().signal) => {
     const call = { task: 'j/0/0', timeoutMs: 1000, traceparent: '' };
--- a/test/support/FakeBackend.ts
+++ b/test/support/FakeBackend.ts
@@ -6,30 +6,31 @@
 import type BackendClient from '../../src/sidecar/BackendClient';
 import type BackendError from '../../src/sidecar/BackendError';
 
-interface Input {
+interface TaskInput {
   readonly ms: number;
   readonly output?: unknown;
   readonly fail?: boolean;
 }
 
-/** A backend server in memory: tasks take the time that they ask for. */
+/** A backend server in memory; each task runs for the time given in its input. */
 export default class FakeBackend implements BackendClient {
-  /** Every start seen, with how often. */
+  /** Number of times each task was started, by task name. */
   readonly starts = new Map<string, number>();
 
+  /** Number of running tasks. */
   running = 0;
 
-  /** Set to make every call end with this error at once. */
+  /** When set, every call fails immediately with this error. */
   error: BackendError | undefined;
 
-  /** Set to look at things at the moment of a call. */
+  /** Called with the task's name at the start of each call. */
   onRun: (task: string) => void = () => undefined;
 
   readonly forget = () => undefined;
 
   private constructor(private readonly timer: TimerService) {}
 
-  /** Creates a backend server without faults. */
+  /** Creates a backend server whose calls succeed. */
   static create(timer: TimerService): FakeBackend {
     return new FakeBackend(timer);
   }
@@ -49,7 +50,7 @@
     call: BackendCall,
     signal: AbortSignal,
   ): Promise<Result<BackendAnswer, BackendError>> {
-    const input = JSON.parse(Buffer.from(call.input).toString()) as Input;
+    const input = JSON.parse(Buffer.from(call.input).toString()) as TaskInput;
     this.running += 1;
     await this.timer.sleep(input.ms, signal);
     this.running -= 1;
--- a/test/support/FakeEntry.ts
+++ b/test/support/FakeEntry.ts
@@ -16,9 +16,12 @@
 interface StartOptions {
   readonly credit?: Credit;
   readonly owner?: string;
+  /** Run time of the task, milliseconds. */
   readonly ms?: number;
   readonly timeoutMs?: number;
+  /** Age of the oldest task queued at the entry, milliseconds. */
   readonly nextWaitMs?: number;
+  /** Creation of the job, milliseconds since the epoch. */
   readonly createdMs?: number;
   readonly output?: unknown;
 }
@@ -26,11 +29,12 @@
 const DEFAULT_TASK_MS = 100;
 const DEFAULT_TIMEOUT_MS = 1000;
 
-/** An entry of which only the link to a sidecar exists; a test says what it sends. */
+/** The entry's end of a link to a sidecar; the test decides which messages it sends. */
 export default class FakeEntry {
-  /** Credits that it was granted and has not used. */
+  /** Credits granted to it and not used yet. */
   credits: Credit[] = [];
 
+  /** The latest link of the sidecar. */
   link: Link | undefined;
 
   private received: string[] = [];
@@ -41,7 +45,7 @@
     private view: View | undefined,
   ) {}
 
-  /** Listens on the network; says the view, if any, on each link that opens. */
+  /** Listens on the network and sends the view, if given, on each link that opens. */
   static async listen(network: Network, name: string, view?: View): Promise<FakeEntry> {
     const entry = new FakeEntry(name, `10.0.0.1:${name.charCodeAt(0)}`, view);
     const hello = () =>
@@ -55,39 +59,41 @@
     return entry;
   }
 
-  /** What was heard since the last call, without heartbeats. */
+  /** Descriptions of the messages received since the last call, without heartbeats. */
   takeReceived(): string[] {
-    const taken = this.received;
+    const messages = this.received;
     this.received = [];
-    return taken;
+    return messages;
   }
 
+  /** Sends a message to the sidecar, if it is linked. */
   send(message: PeerMessage): void {
     this.link?.send(message);
   }
 
+  /** Sends a view, also on later links. */
   sendView(view: View): void {
     this.view = view;
     this.send({ case: 'view', value: create(ViewSchema, view) });
   }
 
-  /** Sends a start of "job/index" with the next credit held, or the one given. */
-  sendStart(name: string, init: StartOptions = {}): void {
+  /** Sends a start request for "job/index" with the given credit, or else the next one held. */
+  sendStart(name: string, options: StartOptions = {}): void {
     const input = Buffer.from(
-      JSON.stringify({ ms: init.ms ?? DEFAULT_TASK_MS, output: init.output }),
+      JSON.stringify({ ms: options.ms ?? DEFAULT_TASK_MS, output: options.output }),
     );
     const value = create(StartSchema, {
       ...{ task: FakeEntry.taskId(name), service: 'booking', input, digest: 'd', jobSize: 1 },
-      owner: init.owner ?? this.name,
-      credit: init.credit ?? this.credits.shift(),
-      timeoutMs: init.timeoutMs ?? DEFAULT_TIMEOUT_MS,
-      nextWaitMs: init.nextWaitMs ?? 0,
-      createdMs: BigInt(init.createdMs ?? Date.UTC(2025, 0, 1)),
+      owner: options.owner ?? this.name,
+      credit: options.credit ?? this.credits.shift(),
+      timeoutMs: options.timeoutMs ?? DEFAULT_TIMEOUT_MS,
+      nextWaitMs: options.nextWaitMs ?? 0,
+      createdMs: BigInt(options.createdMs ?? Date.UTC(2025, 0, 1)),
     });
     this.send({ case: 'start', value });
   }
 
-  /** The id of "job/index", attempt 0. */
+  /** Id of the task "job/index", attempt 0. */
   static taskId(name: string) {
     const [job = '', index] = name.split('/');
     return create(TaskIdSchema, { job, index: Number(index) });
--- a/test/support/SidecarCase.ts
+++ b/test/support/SidecarCase.ts
@@ -10,17 +10,20 @@
 import MemoryNetwork from './MemoryNetwork';
 
 interface SidecarCaseOptions extends Partial<SidecarOptions> {
-  /** Names of the entries that listen, a letter each. */
+  /** Names of the entries that listen, one letter each. */
   readonly listening?: string;
-  /** Names of the members of view 1. */
+  /** Names of the members of view 1, one letter each. */
   readonly members?: string;
+  /** Slots that the backend server announces. */
   readonly slots?: number;
 }
 
-/** A sidecar with its backend server announced and linked to entries that a test plays. */
+/** Test fixture: a sidecar with an announced backend server, linked to entries that the test controls. */
 export default class SidecarCase {
+  /** Aborting it shuts the sidecar down. */
   readonly shutdown = new AbortController();
 
+  /** Whether the sidecar has stopped running. */
   hasStopped = false;
 
   private constructor(
@@ -32,8 +35,9 @@
     private readonly slots: number,
   ) {}
 
-  static async open(init: SidecarCaseOptions = {}): Promise<SidecarCase> {
-    const { listening = 'ab', members = listening, slots = 4, ...opts } = init;
+  /** Starts the entries and the sidecar and announces the backend server. */
+  static async open(options: SidecarCaseOptions = {}): Promise<SidecarCase> {
+    const { listening = 'ab', members = listening, slots = 4, ...opts } = options;
     const timer = ManualTimer.create();
     const network = MemoryNetwork.create(timer);
     const entries: Record<string, FakeEntry> = {};
@@ -56,7 +60,7 @@
     return sidecarCase;
   }
 
-  /** A view with an entry for each letter. */
+  /** Creates a view with one member per letter. */
   static view(number: number, members: string): View {
     return create(ViewSchema, {
       number: BigInt(number),
@@ -67,6 +71,7 @@
     });
   }
 
+  /** The entry with this name. */
   entry(name: string): FakeEntry {
     return this.entries[name]!;
   }
@@ -77,17 +82,17 @@
     this.sidecar.announce({ ...backend, slots: this.slots });
   }
 
-  /** Has another entry listen from now on. */
+  /** Starts another entry, which sends the view, if given, on each link. */
   async listen(name: string, view?: View): Promise<void> {
     this.entries[name] = await FakeEntry.listen(this.network.endpoint(name), name, view);
   }
 
-  /** Moves the time. */
+  /** Advances the time by milliseconds. */
   async advance(ms: number): Promise<void> {
     await this.timer.advance(ms);
   }
 
-  /** What the entries, all or the one named, heard since the last call, a line each. */
+  /** Messages that all entries, or the one named, received since the last call, one per line. */
   receivedMessages(only?: string): string {
     return Object.entries(this.entries)
       .flatMap(([name, entry]) => entry.takeReceived().map((line) => `${name}: ${line}`))
@@ -96,8 +101,8 @@
   }
 
   private async run(): Promise<void> {
-    const done = this.sidecar.run(this.shutdown.signal);
-    done.then(
+    const stopped = this.sidecar.run(this.shutdown.signal);
+    stopped.then(
       () => {
         this.hasStopped = true;
       },
