--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -252,7 +252,7 @@
   }
 
   private handleLinkOpened(peer: LinkedEntry): void {
-    this.opts.counters.links += 1;
+    this.opts.counters.linksOpened += 1;
     this.opts.log?.(`linked to entry ${peer.link.peer.instance}`);
     KeepAlive.start(peer.link, this.opts.timer, this.opts.heartbeat, {
       heartbeat: () => this.heartbeat(),
--- a/src/sidecar/SidecarCounters.ts
+++ b/src/sidecar/SidecarCounters.ts
@@ -13,7 +13,7 @@
   dials = 0;
 
   /** Links opened to entries. */
-  links = 0;
+  linksOpened = 0;
 
   private constructor() {}
 
--- a/src/sidecar/registerSidecarMetrics.ts
+++ b/src/sidecar/registerSidecarMetrics.ts
@@ -13,7 +13,7 @@
   metrics.read('start_refusals_total', () => groupReadings(counters.refusals));
   metrics.read('done_total', () => groupReadings(counters.done));
   metrics.read('dials_total', () => [{ value: counters.dials }]);
-  metrics.read('links_opened_total', () => [{ value: counters.links }]);
+  metrics.read('links_opened_total', () => [{ value: counters.linksOpened }]);
   metrics.read('slots', () => [{ value: sidecar.slotCount }]);
   metrics.read('tasks_running', () => [{ value: sidecar.runningCount }]);
   metrics.read('ledger_bytes', () => [{ value: sidecar.ledgerBytes }]);
