--- a/src/sidecar/BackendDesk.ts
+++ b/src/sidecar/BackendDesk.ts
@@ -10,7 +10,10 @@
 const validate = new Ajv({ allErrors: true }).compile<Announcement>(announcementSchema);
 
 interface BackendDeskOptions {
-  /** Accepts or renews an announcement and returns the milliseconds until the next renewal; undefined during shutdown. */
+  /**
+   * Accepts or renews an announcement. Returns the renewal interval in
+   * milliseconds, or undefined while the sidecar is shutting down.
+   */
   readonly announce: (backend: Announcement) => number | undefined;
   /** Withdraws the announcement. */
   readonly withdraw: () => void;
--- a/src/sidecar/LedgerResponder.ts
+++ b/src/sidecar/LedgerResponder.ts
@@ -29,7 +29,10 @@
   readonly view: Versioned<View>;
 }
 
-/** Reports to entries from the ledger when views, job owners or links change. The rules are in docs/design/ownership.md. */
+/**
+ * Reports to entries from the ledger when views, job owners or links change. The
+ * rules are in docs/design/ownership.md.
+ */
 export default class LedgerResponder {
   private constructor(private readonly opts: LedgerResponderOptions) {}
 
--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -149,7 +149,7 @@
 
   /** Number of tasks at the backend server. */
   get runningCount(): number {
-    return this.taskRunner.count;
+    return this.taskRunner.runningCount;
   }
 
   /** Number of slots that accept tasks. */
@@ -343,12 +343,12 @@
 
   private async shutDown(): Promise<void> {
     const { timer, drainMs } = this.opts;
-    this.opts.log?.(`shutting down with ${this.taskRunner.count} tasks in flight`);
+    this.opts.log?.(`shutting down with ${this.taskRunner.runningCount} tasks in flight`);
     this.isLeaving = true;
     this.taskRunner.stopAccepting();
     this.credits.withdrawAll(true);
     await Promise.race([this.taskRunner.whenIdle(), timer.sleep(drainMs)]);
-    this.taskRunner.loseRemaining();
+    this.taskRunner.reportRemainingLost();
     this.entries.broadcast({ case: 'goodbye', value: create(GoodbyeSchema) });
     const closed = this.entries.all().map((peer) => whenAborted(peer.link.closed));
     await Promise.race([Promise.all(closed), timer.sleep(LINK_CLOSE_TIMEOUT_MS)]);
--- a/src/sidecar/TaskRunner.ts
+++ b/src/sidecar/TaskRunner.ts
@@ -71,7 +71,7 @@
   }
 
   /** Number of tasks whose call to the backend server has not ended. */
-  get count(): number {
+  get runningCount(): number {
     return this.running.size;
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** Reports tasks that still run as lost, since this process will not receive their answers. */
-  loseRemaining(): void {
+  reportRemainingLost(): void {
     this.running.forEach((task) => {
       this.recordResult(
         task,
