--- a/test/sidecarHttp.test.ts
+++ b/test/sidecarHttp.test.ts
@@ -14,7 +14,7 @@
 });
 
 it('accepts an announcement and answers with the renewal interval', async () => {
-  const { put, events } = await openServer();
+  const { put, events } = await openAnnouncementServer();
   expect([await put(announcement('127.0.0.1:4000')), events]).toMatchInlineSnapshot(`
     [
       "200 {"renewMs":1000}",
@@ -31,7 +31,7 @@
 });
 
 it('reports every error of an invalid announcement', async () => {
-  const { put } = await openServer();
+  const { put } = await openAnnouncementServer();
   const answers = [
     await put('{'),
     await put({ slots: 0, extra: 1 }),
@@ -49,7 +49,7 @@
 });
 
 it('withdraws on DELETE and rejects other paths and methods', async () => {
-  const { send, events } = await openServer();
+  const { send, events } = await openAnnouncementServer();
   const answers = [await send('DELETE', '/v1/backend'), await send('PUT', '/'), await send('GET')];
   expect([answers, events]).toMatchInlineSnapshot(`
     [
@@ -66,7 +66,7 @@
 });
 
 it('refuses announcements while the sidecar shuts down', async () => {
-  const { put } = await openServer({ isLeaving: true });
+  const { put } = await openAnnouncementServer({ isLeaving: true });
   expect(await put(announcement('127.0.0.1:4000'))).toMatchInlineSnapshot(
     `"503 {"errors":["the sidecar is leaving"]}"`,
   );
@@ -121,7 +121,7 @@
   expect(answer).toMatchObject({ kind: 'unsent' });
 });
 
-async function openServer({ isLeaving = false } = {}) {
+async function openAnnouncementServer({ isLeaving = false } = {}) {
   const events: unknown[] = [];
   const server = BackendDesk.create({
     announce: (backend) => {
