--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -304,7 +304,7 @@
 
   private handleBackendClose(backend: Announcement): void {
     this.opts.log?.(
-      `backend server ${backend.address} is withdrawn: no further tasks are sent to it`,
+      `announcement of backend server ${backend.address} has ended: no further tasks are sent to it`,
     );
     this.credits.withdrawAll(false);
     this.taskRunner.startQueued();
