--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -297,7 +297,7 @@
   }
 
   private handleBackendOpen(backend: Announcement): void {
-    this.opts.log?.(`backend server ${backend.address} announced with ${backend.slots} slots`);
+    this.opts.log?.(`backend server ${backend.address} offers ${backend.slots} slots`);
     this.slots.open(backend.slots);
     this.credits.distribute();
   }
