--- a/src/ctl/Command.ts
+++ b/src/ctl/Command.ts
@@ -4,7 +4,7 @@
 import type CommandOption from './CommandOption';
 import type CtlContext from './CtlContext';
 
-/** One command of the command-line tool. */
+/** One command of `magnoliakeelctl`. */
 export default interface Command {
   /** Arguments as the help shows them: `<file>` is required, `[file]` is not. */
   readonly args: string;
--- a/src/ctl/CommandInput.ts
+++ b/src/ctl/CommandInput.ts
@@ -1,4 +1,4 @@
-/** What a command is called with. Options have camel-case names. */
+/** The parsed command line of a command. Option names are in camel case. */
 export default interface CommandInput {
   readonly args: readonly string[];
   readonly options: Readonly<Record<string, unknown>>;
--- a/src/ctl/CommandOption.ts
+++ b/src/ctl/CommandOption.ts
@@ -1,6 +1,6 @@
-/** One option of a command. */
+/** An option that a command accepts. */
 export default interface CommandOption {
-  /** As the help shows it: `--wait <seconds>`, or `--wait` for a switch. */
+  /** In the syntax of the help: `--limit <seconds>` for an option with a value, `--wait` for a switch. */
   readonly flags: string;
   readonly description: string;
   readonly default?: string | number | boolean;
--- a/src/ctl/CtlContext.ts
+++ b/src/ctl/CtlContext.ts
@@ -3,14 +3,14 @@
 import type Store from '../store/Store';
 import type OperatorClient from './OperatorClient';
 
-/** What commands reach the outside with. */
+/** External dependencies of the commands: clock, randomness, environment, store and HTTP. */
 export default interface CtlContext {
   readonly timer: TimerService;
   readonly random: Random;
   readonly environment: Readonly<Record<string, string | undefined>>;
-  /** The platform's key-value service at an address, "ip:port". */
+  /** Opens a client of the platform's key-value service at an address, "ip:port". */
   readonly openStore: (address: string) => Store;
   readonly operators: OperatorClient;
-  /** A name for one apply that no other has. */
+  /** Returns a new unique id, used to identify an apply. */
   readonly newId: () => string;
 }
--- a/src/ctl/HttpOperatorClient.ts
+++ b/src/ctl/HttpOperatorClient.ts
@@ -4,7 +4,7 @@
 import type OperatorAnswer from './OperatorAnswer';
 import type OperatorClient from './OperatorClient';
 
-/** Calls operators' listeners over HTTP. */
+/** Sends requests to operators' listeners over HTTP. */
 export default class HttpOperatorClient implements OperatorClient {
   private constructor(private readonly timer: TimerService) {}
 
@@ -24,12 +24,12 @@
   }
 
   private async send(method: 'GET' | 'POST', url: string): Promise<OperatorAnswer> {
-    const limit = new AbortController();
-    const timeout = this.timer.after(ANSWER_LIMIT_MS, () =>
-      limit.abort(new Error(`no answer within ${ANSWER_LIMIT_MS} ms`)),
+    const abort = new AbortController();
+    const timeout = this.timer.after(ANSWER_TIMEOUT_MS, () =>
+      abort.abort(new Error(`no answer within ${ANSWER_TIMEOUT_MS} ms`)),
     );
     try {
-      const { statusCode, body } = await request(url, { method, signal: limit.signal });
+      const { statusCode, body } = await request(url, { method, signal: abort.signal });
       return { status: statusCode, body: JSON.parse(await body.text()) };
     } finally {
       timeout.cancel();
@@ -37,4 +37,4 @@
   }
 }
 
-const ANSWER_LIMIT_MS = 4000;
+const ANSWER_TIMEOUT_MS = 4000;
--- a/src/ctl/ManifestChange.ts
+++ b/src/ctl/ManifestChange.ts
@@ -1,7 +1,7 @@
-/** One difference between two manifests. */
+/** A difference between two manifests. */
 export default interface ManifestChange {
   readonly kind: 'added' | 'removed' | 'changed';
-  /** Dotted keys; services and teams by their names: `services.booking.timeoutMs`. */
+  /** Keys joined by dots, with services and teams identified by name: `services.booking.timeoutMs`. */
   readonly path: string;
   readonly before?: unknown;
   readonly after?: unknown;
--- a/src/ctl/ManifestStore.ts
+++ b/src/ctl/ManifestStore.ts
@@ -7,47 +7,49 @@
 import type StoreError from '../store/StoreError';
 import type StoreItem from '../store/StoreItem';
 import type CtlContext from './CtlContext';
-import type Problem from './Problem';
+import type CommandFailure from './CommandFailure';
 import retireParts from './retireParts';
 import type StoredManifest from './StoredManifest';
 
-/** The applied manifests in the platform's key-value service: the one in force and the last ones before it. */
+/** The applied manifests in the platform's key-value service: the active version and the latest versions before it. */
 export default class ManifestStore {
   private constructor(
     private readonly store: Store,
     private readonly context: CtlContext,
   ) {}
 
-  /** The manifests in the store at the address. */
+  /** Returns the manifests in the store at the address, "ip:port". */
   static at(address: string, context: CtlContext): ManifestStore {
     return new ManifestStore(context.openStore(address), context);
   }
 
-  /** The manifest applied last; undefined when there was none yet. */
-  current(): ResultAsync<StoredManifest | undefined, Problem> {
-    return new ResultAsync(this.retried(() => this.store.get(storeKeys.manifest))).andThen(read);
+  /** The active manifest; undefined when none has been applied yet. */
+  current(): ResultAsync<StoredManifest | undefined, CommandFailure> {
+    return new ResultAsync(this.withRetries(() => this.store.get(storeKeys.manifest))).andThen(
+      parseItem,
+    );
   }
 
-  /** All manifests kept, the newest first. */
-  kept(): ResultAsync<StoredManifest[], Problem> {
-    const listed = new ResultAsync(this.retried(() => this.store.list(storeKeys.history)));
-    return listed
-      .andThen(({ items }) => Result.combine(items.map(read)))
-      .andThen((past) => this.current().map((current) => [...past, current]))
-      .map((all) => all.filter((one) => one !== undefined))
-      .map((all) => all.sort((one, other) => other.version - one.version))
-      .map((all) => all.filter(({ version }, at) => version !== all[at - 1]?.version));
+  /** All manifests in the store, newest first. */
+  listVersions(): ResultAsync<StoredManifest[], CommandFailure> {
+    const formerItems = new ResultAsync(this.withRetries(() => this.store.list(storeKeys.history)));
+    return formerItems
+      .andThen(({ items }) => Result.combine(items.map(parseItem)))
+      .andThen((former) => this.current().map((current) => [...former, current]))
+      .map((all) => all.filter((stored) => stored !== undefined))
+      .map((all) => all.sort((a, b) => b.version - a.version))
+      .map((all) => all.filter(({ version }, index) => version !== all[index - 1]?.version));
   }
 
   /**
-   * Applies a manifest as the version after the one it was planned against. When
-   * someone else was first, nothing is changed and their version is returned.
+   * Applies a manifest as the version after the one it was planned against. If another
+   * operator has applied a version since then, changes nothing and returns that version.
    */
   apply(
     manifest: object,
     planned: StoredManifest | undefined,
     rollbackOf?: number,
-  ): ResultAsync<Swapped, Problem> {
+  ): ResultAsync<ApplyResult, CommandFailure> {
     const nowMs = this.context.timer.wall();
     const retired = retireParts(planned, manifest, nowMs);
     const next: StoredManifest = {
@@ -58,79 +60,91 @@
       ...(retired ? { retired } : {}),
       ...(rollbackOf === undefined ? {} : { rollbackOf }),
     };
-    return this.keep(planned)
-      .andThen(() => this.swap(next))
-      .map((stored): Swapped => ({ stored, done: stored?.applyId === next.applyId }))
-      .andThen((swapped) => this.prune(swapped).map(() => swapped));
+    return this.archive(planned)
+      .andThen(() => this.replaceCurrent(next))
+      .map((stored): ApplyResult => ({ stored, done: stored?.applyId === next.applyId }))
+      .andThen((result) => this.prune(result).map(() => result));
   }
 
-  /** Writes a version to the history before it is replaced, so that none is ever missing there. */
-  private keep(stored: StoredManifest | undefined): ResultAsync<unknown, Problem> {
+  /** Writes a version to the history before it is replaced, so that the history has no gaps. */
+  private archive(stored: StoredManifest | undefined): ResultAsync<unknown, CommandFailure> {
     if (!stored) return okAsync(undefined);
-    return this.change({
+    return this.update({
       key: historyKey(stored.version),
       computeValue: (item) => (item ? undefined : JSON.stringify(stored)),
-    }).mapErr(unreachable);
+    }).mapErr(storeUnreachable);
   }
 
-  private swap(next: StoredManifest): ResultAsync<StoredManifest | undefined, Problem> {
-    return this.change({
+  private replaceCurrent(
+    next: StoredManifest,
+  ): ResultAsync<StoredManifest | undefined, CommandFailure> {
+    return this.update({
       key: storeKeys.manifest,
       computeValue: (item) => {
-        const stored = read(item);
+        const stored = parseItem(item);
         if (stored.isErr()) return undefined;
         const version = stored.value?.version ?? 0;
         return version + 1 === next.version ? JSON.stringify(next) : undefined;
       },
     })
-      .mapErr(undecided)
-      .andThen(read);
+      .mapErr(outcomeUnknown)
+      .andThen(parseItem);
   }
 
-  /** Drops the version that is one too many. What is left over does no harm. */
-  private prune({ stored, done }: Swapped): ResultAsync<undefined, never> {
-    if (!done || stored!.version <= KEPT) return okAsync(undefined);
-    const removed = this.store.remove(historyKey(stored!.version - KEPT));
+  /** Removes the oldest version once the limit is exceeded. If that fails, the extra version does no harm. */
+  private prune({ stored, done }: ApplyResult): ResultAsync<undefined, never> {
+    if (!done || stored!.version <= MAX_VERSIONS) return okAsync(undefined);
+    const removed = this.store.remove(historyKey(stored!.version - MAX_VERSIONS));
     return removed.map(() => undefined).orElse(() => okAsync(undefined));
   }
 
-  private change(
+  private update(
     change: Pick<KeyUpdate, 'key' | 'computeValue'>,
   ): ResultAsync<StoreItem | undefined, StoreError> {
     const { timer, random } = this.context;
-    return updateKey({ store: this.store, timer, random, maxAttempts: ATTEMPTS, ...change });
+    return updateKey({
+      store: this.store,
+      timer,
+      random,
+      maxAttempts: MAX_UPDATE_ATTEMPTS,
+      ...change,
+    });
   }
 
-  private async retried<T>(call: () => ResultAsync<T, StoreError>): Promise<Result<T, Problem>> {
+  private async withRetries<T>(
+    call: () => ResultAsync<T, StoreError>,
+  ): Promise<Result<T, CommandFailure>> {
     const { timer, random } = this.context;
     let result = await call();
-    for (let made = 1; made < READ_ATTEMPTS && result.isErr(); made += 1) {
-      await timer.sleep(random.jitter(READ_RETRY_MS));
+    for (let attempts = 1; attempts < MAX_READ_ATTEMPTS && result.isErr(); attempts += 1) {
+      await timer.sleep(random.jitter(READ_RETRY_DELAY_MS));
       result = await call();
     }
-    return result.mapErr(unreachable);
+    return result.mapErr(storeUnreachable);
   }
 }
 
-/** What the store holds after an apply, and whether that is the one applied. */
-interface Swapped {
+/** What the store holds after an apply, and whether this apply wrote it. */
+interface ApplyResult {
   readonly stored: StoredManifest | undefined;
   readonly done: boolean;
 }
 
-/** How many versions are kept, the one in force among them. */
-const KEPT = 20;
-const ATTEMPTS = 5;
-const READ_ATTEMPTS = 3;
-const READ_RETRY_MS = 200;
+/** Number of versions that are kept, including the active one. */
+const MAX_VERSIONS = 20;
+const MAX_UPDATE_ATTEMPTS = 5;
+const MAX_READ_ATTEMPTS = 3;
+const READ_RETRY_DELAY_MS = 200;
 
 function historyKey(version: number): string {
   return `${storeKeys.history}${version}`;
 }
 
-function read(item: StoreItem | undefined): Result<StoredManifest | undefined, Problem> {
+function parseItem(
+  item: StoreItem | undefined,
+): Result<StoredManifest | undefined, CommandFailure> {
   if (!item) return ok(undefined);
-  const stored = parse(item.value);
+  const stored = parseJson(item.value);
   if (stored.isOk() && Number.isSafeInteger(stored.value?.version)) return ok(stored.value);
   return err({
     exitCode: exitCodes.internal,
@@ -138,13 +152,16 @@
   });
 }
 
-const parse = Result.fromThrowable((text: string) => JSON.parse(text) as StoredManifest, String);
+const parseJson = Result.fromThrowable(
+  (text: string) => JSON.parse(text) as StoredManifest,
+  String,
+);
 
-function unreachable({ reason }: StoreError): Problem {
+function storeUnreachable({ reason }: StoreError): CommandFailure {
   return { exitCode: exitCodes.unreachable, lines: [`the store does not answer: ${reason}`] };
 }
 
-function undecided({ reason }: StoreError): Problem {
+function outcomeUnknown({ reason }: StoreError): CommandFailure {
   return {
     exitCode: exitCodes.unreachable,
     lines: [
--- a/src/ctl/OperatorAnswer.ts
+++ b/src/ctl/OperatorAnswer.ts
@@ -1,4 +1,4 @@
-/** What the operators' listener of a process answered. */
+/** Response of a process's operators' listener. */
 export default interface OperatorAnswer {
   readonly status: number;
   readonly body: unknown;
--- a/src/ctl/OperatorClient.ts
+++ b/src/ctl/OperatorClient.ts
@@ -1,9 +1,9 @@
 import type { ResultAsync } from 'neverthrow';
 import type OperatorAnswer from './OperatorAnswer';
 
-/** Calls the operators' listeners of running processes. */
+/** Sends requests to the operators' listeners of running processes. */
 export default interface OperatorClient {
-  /** Sends one request; the error says why there was no answer. */
+  /** Sends one request. The error is the reason why no response was received. */
   request(
     method: 'GET' | 'POST',
     address: string,
--- a/src/ctl/RetiredParts.ts
+++ b/src/ctl/RetiredParts.ts
@@ -1,12 +1,12 @@
 import type Manifest from '../settings/Manifest';
 
-/** Until when a removed part of the manifest is kept, wall clock in milliseconds. */
-interface Kept {
+/** When a removed part of the manifest may be dropped from the store: wall clock, ms since the epoch. */
+interface Retained {
   readonly until: number;
 }
 
-/** Services and teams that were removed from the manifest while work of theirs may be in flight. */
+/** Services and teams that were removed from the manifest but may still have work in flight. */
 export default interface RetiredParts {
-  readonly services: readonly (Manifest['services'][number] & Kept)[];
-  readonly teams: readonly (Manifest['teams'][number] & Kept)[];
+  readonly services: readonly (Manifest['services'][number] & Retained)[];
+  readonly teams: readonly (Manifest['teams'][number] & Retained)[];
 }
--- a/src/ctl/StoredManifest.ts
+++ b/src/ctl/StoredManifest.ts
@@ -1,16 +1,16 @@
 import type RetiredParts from './RetiredParts';
 
-/** One applied manifest, as the store keeps it. */
+/** An applied manifest as it is stored. */
 export default interface StoredManifest {
-  /** Grows by one with each apply. */
+  /** Increases by one with each apply. */
   readonly version: number;
-  /** Names the apply, so that it knows its own write again. */
+  /** Unique id of the apply, by which it recognises its own write when the answer was lost. */
   readonly applyId: string;
   readonly manifest: object;
   /** Wall-clock time of the apply, ISO 8601. */
   readonly appliedAt: string;
-  /** Services and teams removed lately; they are kept until the jobs of that time are forgotten. */
+  /** Recently removed services and teams, kept until the retention of the jobs that used them has ended. */
   readonly retired?: RetiredParts;
-  /** The earlier version that this one repeats, for a rollback. */
+  /** For a rollback, the earlier version whose manifest this one repeats. */
   readonly rollbackOf?: number;
 }
--- a/src/ctl/TraceNode.ts
+++ b/src/ctl/TraceNode.ts
@@ -1,6 +1,6 @@
 import type TraceSpan from './TraceSpan';
 
-/** A span with the spans that are parts of it, in the order of their beginning. */
+/** A span with its child spans, ordered by start time. */
 export default interface TraceNode {
   readonly span: TraceSpan;
   readonly children: readonly TraceNode[];
--- a/src/ctl/apply.ts
+++ b/src/ctl/apply.ts
@@ -2,10 +2,10 @@
 import commitAndWait from './commitAndWait';
 import limitOption from './limitOption';
 import makePlan from './makePlan';
-import reporting from './reporting';
+import printResultOf from './printResultOf';
 import targetOptions from './targetOptions';
 
-/** Puts a manifest in force. */
+/** Applies a manifest: writes it to the store as the new active version. */
 const apply: Command = {
   args: '<file>',
   description: 'Put a manifest in force, unless someone else has changed it meanwhile',
@@ -23,7 +23,9 @@
     },
     limitOption,
   ],
-  run: reporting((input, context) => commitAndWait(input, context, () => makePlan(input, context))),
+  run: printResultOf((input, context) =>
+    commitAndWait(input, context, () => makePlan(input, context)),
+  ),
 };
 
 export default apply;
--- a/src/ctl/causes.ts
+++ b/src/ctl/causes.ts
@@ -1,17 +1,17 @@
 import type ExitCode from '../core/ExitCode';
 import exitCodes from '../core/exitCodes';
 import type Terminal from '../core/Terminal';
-import causesOf from './causesOf';
+import groupFailures from './groupFailures';
 import type Command from './Command';
 import type CommandInput from './CommandInput';
 import formatTable from './formatTable';
 import readFiles from './readFiles';
 import readLogFile from './readLogFile';
 
-/** Tells when and for what reasons requests got no result, from the log lines of several processes. */
+/** Counts requests without a result by time and reason, from the log lines of several processes. */
 const causes: Command = {
   args: '<...files>',
-  description: 'Count requests without a result by moment and reason, from log lines in files',
+  description: 'Count requests without a result by time and reason, from log lines in files',
   options: [],
   run,
 };
@@ -21,14 +21,14 @@
 async function run({ args, json }: CommandInput, terminal: Terminal): Promise<ExitCode> {
   const lines = await readFiles(args, readLogFile, terminal);
   if (!lines) return exitCodes.badFile;
-  const found = causesOf(lines.flat());
-  if (found.length === 0) {
-    terminal.warn('no request without a result is in these files');
+  const groups = groupFailures(lines.flat());
+  if (groups.length === 0) {
+    terminal.warn('these files contain no request without a result');
     return exitCodes.notFound;
   }
-  if (json) terminal.print(JSON.stringify(found));
+  if (json) terminal.print(JSON.stringify(groups));
   else {
-    const rows = found.map(({ atMs, reason, requests, example }) => [
+    const rows = groups.map(({ atMs, reason, requests, example }) => [
       `${(atMs / SECOND_MS).toFixed(0)} s`,
       requests,
       example,
--- a/src/ctl/commands.ts
+++ b/src/ctl/commands.ts
@@ -11,7 +11,7 @@
 import trace from './trace';
 import validate from './validate';
 
-/** The commands of the command-line tool by their names, in the order of the help. */
+/** The commands of `magnoliakeelctl` by name, in the order in which the help lists them. */
 const commands: Readonly<Record<string, Command>> = {
   validate,
   plan,
--- a/src/ctl/commitPlan.ts
+++ b/src/ctl/commitPlan.ts
@@ -1,46 +1,47 @@
 import { err, ok, type Result } from 'neverthrow';
 import exitCodes from '../core/exitCodes';
 import compareManifests from './compareManifests';
-import completed from './completed';
+import withDefaults from './withDefaults';
 import describeVersion from './describeVersion';
 import formatChanges from './formatChanges';
 import type ManifestChange from './ManifestChange';
 import type ManifestPlan from './ManifestPlan';
-import type Problem from './Problem';
-import type Report from './Report';
+import type CommandFailure from './CommandFailure';
+import type CommandReport from './CommandReport';
 import type StoredManifest from './StoredManifest';
 
-/** How a plan is to be carried out. */
-interface How {
-  /** The version that the difference was looked at against; the plan's own when absent. */
+/** Options of an apply. */
+interface CommitOptions {
+  /** The active version that the operator reviewed the changes against; defaults to the plan's. */
   readonly planned?: number;
-  /** The earlier version that is being repeated. */
+  /** For a rollback, the earlier version whose manifest is applied again. */
   readonly rollbackOf?: number;
 }
 
 /**
- * Applies a plan unless it changes nothing. A version other than the one
- * planned against is a conflict: both are shown and nothing is changed.
+ * Applies a plan unless it changes nothing. If the active version is not the one
+ * planned against, changes nothing and fails with a conflict that names both.
  */
 export default async function commitPlan(
   plan: ManifestPlan,
-  { planned, rollbackOf }: How,
-): Promise<Result<Report & { readonly version: number }, Problem>> {
+  { planned, rollbackOf }: CommitOptions,
+): Promise<Result<CommandReport & { readonly version: number }, CommandFailure>> {
   const { store, manifest, current, changes } = plan;
   const version = current?.version ?? 0;
-  if (changes.length === 0 && current) return ok(unchanged(current));
-  if (planned !== undefined && planned !== version) return err(conflict(planned, current, changes));
+  if (changes.length === 0 && current) return ok(unchangedReport(current));
+  if (planned !== undefined && planned !== version)
+    return err(conflictFailure(planned, current, changes));
   const applied = await store.apply(manifest, current, rollbackOf);
   if (applied.isErr()) return err(applied.error);
   const { stored, done } = applied.value;
-  if (done) return ok(changed(stored!, changes));
-  const missing = compareManifests(completed(stored), manifest);
-  return missing.length === 0 && stored
-    ? ok(unchanged(stored))
-    : err(conflict(version, stored, missing));
+  if (done) return ok(appliedReport(stored!, changes));
+  const remaining = compareManifests(withDefaults(stored), manifest);
+  return remaining.length === 0 && stored
+    ? ok(unchangedReport(stored))
+    : err(conflictFailure(version, stored, remaining));
 }
 
-function unchanged(current: StoredManifest): Report & { readonly version: number } {
+function unchangedReport(current: StoredManifest): CommandReport & { readonly version: number } {
   const { version, appliedAt } = current;
   return {
     version,
@@ -49,10 +50,10 @@
   };
 }
 
-function changed(
+function appliedReport(
   stored: StoredManifest,
   changes: readonly ManifestChange[],
-): Report & { readonly version: number } {
+): CommandReport & { readonly version: number } {
   const { version, applyId, appliedAt } = stored;
   return {
     version,
@@ -61,19 +62,19 @@
   };
 }
 
-function conflict(
+function conflictFailure(
   planned: number,
-  found: StoredManifest | undefined,
+  current: StoredManifest | undefined,
   changes: readonly ManifestChange[],
-): Problem {
-  const version = found?.version ?? 0;
+): CommandFailure {
+  const version = current?.version ?? 0;
   return {
     exitCode: exitCodes.conflict,
     lines: [
-      `planned against version ${planned}, but in force is ${describeVersion(found)}; nothing was changed`,
+      `planned against version ${planned}, but in force is ${describeVersion(current)}; nothing was changed`,
       ...(changes.length > 0 ? [`Against version ${version} the manifest changes:`] : []),
       ...formatChanges(changes),
     ],
-    json: { planned, version, appliedAt: found?.appliedAt, changes },
+    json: { planned, version, appliedAt: current?.appliedAt, changes },
   };
 }
--- a/src/ctl/createContext.ts
+++ b/src/ctl/createContext.ts
@@ -5,7 +5,7 @@
 import type CtlContext from './CtlContext';
 import HttpOperatorClient from './HttpOperatorClient';
 
-/** The outside as a command run from a shell meets it. */
+/** Creates the context of commands that are run from a shell. */
 export default function createContext(): CtlContext {
   const timer = SystemTimer.create();
   return {
--- a/src/ctl/describeVersion.ts
+++ b/src/ctl/describeVersion.ts
@@ -1,6 +1,6 @@
 import type StoredManifest from './StoredManifest';
 
-/** A version with the time it was applied, for people. */
+/** Formats a version with the time at which it was applied. */
 export default function describeVersion(stored: StoredManifest | undefined): string {
   if (!stored) return 'no version yet';
   const rollback = stored.rollbackOf === undefined ? '' : `, a rollback to ${stored.rollbackOf}`;
--- a/src/ctl/drain.ts
+++ b/src/ctl/drain.ts
@@ -8,14 +8,14 @@
 import fetchStatus from './fetchStatus';
 import findTargets from './findTargets';
 import limitOption from './limitOption';
-import type Problem from './Problem';
+import type CommandFailure from './CommandFailure';
 import readNumber from './readNumber';
-import type Report from './Report';
-import reporting from './reporting';
+import type CommandReport from './CommandReport';
+import printResultOf from './printResultOf';
 import targetOptions from './targetOptions';
-import waitGone from './waitGone';
+import waitUntilGone from './waitUntilGone';
 
-/** Has a process leave in good order. */
+/** Makes a process shut down gracefully. */
 const drain: Command = {
   args: '<instance>',
   description: 'Have an entry or a sidecar finish its work and leave',
@@ -25,7 +25,7 @@
     { flags: '--wait', description: 'End when the process is gone from the system' },
     limitOption,
   ],
-  run: reporting(async (input, context) => {
+  run: printResultOf(async (input, context) => {
     const targets = await findTargets(input, context, ['entry']);
     if (targets.isErr()) return err(targets.error);
     const limit = readNumber('--limit', input.options.limit);
@@ -35,21 +35,22 @@
     if (found.isErr()) return err(found.error);
     const process = findProcess(found.value, input.args[0] ?? '');
     if (process.isErr()) return err(process.error);
-    const asked = await askToLeave(process.value, context);
-    if (asked.isErr() || input.options.wait !== true) return asked;
-    return waitGone(process.value, entries, limit.value * 1000, context);
+    const requested = await requestDrain(process.value, context);
+    if (requested.isErr() || input.options.wait !== true) return requested;
+    return waitUntilGone(process.value, entries, limit.value * 1000, context);
   }),
 };
 
 export default drain;
 
-function findProcess(system: SystemStatus, name: string): Result<ProcessStatus, Problem> {
-  const runs = system.processes.filter(({ instance }) => instance === name);
-  const run = runs.find(({ reachable }) => reachable) ?? runs[0];
-  if (run) return ok(run);
+function findProcess(system: SystemStatus, name: string): Result<ProcessStatus, CommandFailure> {
+  const incarnations = system.processes.filter(({ instance }) => instance === name);
+  const incarnation = incarnations.find(({ reachable }) => reachable) ?? incarnations[0];
+  if (incarnation) return ok(incarnation);
   const known = system.processes.map(({ instance }) => instance);
-  const near = nearestWord(name, known);
-  const hint = near === undefined ? `known are ${known.join(', ')}` : `did you mean "${near}"?`;
+  const nearest = nearestWord(name, known);
+  const hint =
+    nearest === undefined ? `known are ${known.join(', ')}` : `did you mean "${nearest}"?`;
   return err({
     exitCode: exitCodes.notFound,
     lines: [`there is no process "${name}"; ${hint}`],
@@ -57,15 +58,15 @@
   });
 }
 
-async function askToLeave(
+async function requestDrain(
   { instance, incarnation, operators }: ProcessStatus,
   context: CtlContext,
-): Promise<Result<Report, Problem>> {
-  if (operators === '') return err(unreachable(instance, "its operators' address is not known"));
+): Promise<Result<CommandReport, CommandFailure>> {
+  if (operators === '') return err(drainFailure(instance, "its operators' address is not known"));
   const answer = await context.operators.request('POST', operators, '/v1/drain');
-  if (answer.isErr()) return err(unreachable(instance, answer.error));
+  if (answer.isErr()) return err(drainFailure(instance, answer.error));
   if (answer.value.status !== 202) {
-    return err(unreachable(instance, JSON.stringify(answer.value.body)));
+    return err(drainFailure(instance, JSON.stringify(answer.value.body)));
   }
   return ok({
     lines: [`${instance} finishes its work and leaves.`],
@@ -73,7 +74,7 @@
   });
 }
 
-function unreachable(instance: string, reason: string): Problem {
+function drainFailure(instance: string, reason: string): CommandFailure {
   return {
     exitCode: exitCodes.unreachable,
     lines: [`${instance} cannot be asked to leave: ${reason}`],
--- a/src/ctl/explain.ts
+++ b/src/ctl/explain.ts
@@ -6,9 +6,9 @@
 import type LogLine from './LogLine';
 import readFiles from './readFiles';
 import readLogFile from './readLogFile';
-import storyOf from './storyOf';
+import findRequestLines from './findRequestLines';
 
-/** Tells what became of one request, from the log lines of several processes. */
+/** Shows the course of one request, from the log lines of several processes. */
 const explain: Command = {
   args: '<id> <...files>',
   description: 'Tell what became of a request, from log lines in files ("-": standard input)',
@@ -22,31 +22,31 @@
   const [id = '', ...files] = args;
   const lines = await readFiles(files, readLogFile, terminal);
   if (!lines) return exitCodes.badFile;
-  const story = storyOf(lines.flat(), id);
-  if (story.length === 0) {
+  const relevant = findRequestLines(lines.flat(), id);
+  if (relevant.length === 0) {
     terminal.warn(`no line in these files names the request ${id}`);
     return exitCodes.notFound;
   }
-  if (json) terminal.print(JSON.stringify({ request: id, lines: story }));
-  else story.forEach((line) => terminal.print(describe(line, story[0]!.timeMs)));
+  if (json) terminal.print(JSON.stringify({ request: id, lines: relevant }));
+  else relevant.forEach((line) => terminal.print(describe(line, relevant[0]!.timeMs)));
   return exitCodes.ok;
 }
 
 function describe({ process, timeMs, level, message, fields }: LogLine, startMs: number): string {
   const at = `${((timeMs - startMs) / SECOND_MS).toFixed(3)} s`.padStart(9);
-  const values = Object.entries(fields).map(([key, value]) => `${key}=${textOf(value)}`);
+  const values = Object.entries(fields).map(([key, value]) => `${key}=${formatField(value)}`);
   const mark = level === 'warn' || level === 'error' ? `${level}: ` : '';
   return `${at}  ${process}  ${mark}${message}  ${values.join(' ')}`.trimEnd();
 }
 
-function textOf(value: unknown): string {
+function formatField(value: unknown): string {
   if (typeof value === 'string') return value.includes(' ') ? JSON.stringify(value) : value;
   if (!Array.isArray(value)) return JSON.stringify(value);
-  return `[${value.map(itemOf).join(', ')}]`;
+  return `[${value.map(formatItem).join(', ')}]`;
 }
 
-/** An entry of a list; of one with fields, their values in order. */
-function itemOf(item: unknown): string {
+/** Formats an item of a list; an object is written as its keys and values in order. */
+function formatItem(item: unknown): string {
   if (typeof item !== 'object' || item === null) return String(item);
   return Object.entries(item)
     .map(([key, value]) => `${key} ${String(value)}`)
--- a/src/ctl/findTargets.ts
+++ b/src/ctl/findTargets.ts
@@ -7,45 +7,49 @@
 import YamlSource from '../settings/YamlSource';
 import type CommandInput from './CommandInput';
 import type CtlContext from './CtlContext';
-import type Problem from './Problem';
+import type CommandFailure from './CommandFailure';
 import type Targets from './Targets';
 
 /**
- * Finds the addresses that a command needs: options come first, then the file
- * of --targets, then the environment.
+ * Finds the addresses that a command needs. Options take precedence over the
+ * file given with --targets, and that file over the environment.
  */
 export default async function findTargets(
   { options }: CommandInput,
   { environment }: CtlContext,
   needs: readonly ('store' | 'entry')[],
-): Promise<Result<Targets, Problem>> {
+): Promise<Result<Targets, CommandFailure>> {
   const file = await readTargets(options.targets);
   if (file.isErr()) return err(file.error);
-  const store = text(options.store) ?? file.value.store ?? environment.MAGNOLIAKEEL_STORE;
-  const listed = text(options.entry)?.split(',') ?? file.value.entries;
+  const store =
+    textOrUndefined(options.store) ?? file.value.store ?? environment.MAGNOLIAKEEL_STORE;
+  const listed = textOrUndefined(options.entry)?.split(',') ?? file.value.entries;
   const entries = listed ?? environment.MAGNOLIAKEEL_ENTRY?.split(',') ?? [];
   const given = { store: store ? [store] : [], entry: entries.filter((entry) => entry !== '') };
   const missing = needs.find((need) => given[need].length === 0);
-  if (missing) return err(usage(MISSING[missing]));
-  const wrong = needs.flatMap((need) => given[need]).find((address) => !ADDRESS.test(address));
-  if (wrong !== undefined) return err(usage(`found the address "${wrong}", expected "ip:port"`));
+  if (missing) return err(usageFailure(MISSING_TARGET[missing]));
+  const malformed = needs
+    .flatMap((need) => given[need])
+    .find((address) => !ADDRESS_PATTERN.test(address));
+  if (malformed !== undefined)
+    return err(usageFailure(`found the address "${malformed}", expected "ip:port"`));
   return ok({ store, entries: given.entry });
 }
 
-const ADDRESS = /^([\d.]+|\[[\da-fA-F:.]+\]):\d{1,5}$/;
+const ADDRESS_PATTERN = /^([\d.]+|\[[\da-fA-F:.]+\]):\d{1,5}$/;
 
-const MISSING = {
+const MISSING_TARGET = {
   store:
     "the store's address is missing: give --store ip:port, --targets <file> or MAGNOLIAKEEL_STORE",
   entry:
     'the address of an entry is missing: give --entry ip:port, --targets <file> or MAGNOLIAKEEL_ENTRY',
 } as const;
 
-const KEYS = ['store', 'entries'];
+const TARGETS_FILE_KEYS = ['store', 'entries'];
 
 type TargetsFile = Partial<Targets>;
 
-async function readTargets(file: unknown): Promise<Result<TargetsFile, Problem>> {
+async function readTargets(file: unknown): Promise<Result<TargetsFile, CommandFailure>> {
   if (typeof file !== 'string') return ok({});
   const source = await readText(file).andThen((content) => YamlSource.parse(content, file));
   return source.andThen(checkTargets).mapErr((findings) => ({
@@ -62,33 +66,33 @@
   }
   const findings = [
     ...source.findings,
-    ...Object.keys(value).flatMap((key) => wrongKey(source, key)),
+    ...Object.keys(value).flatMap((key) => unknownKeyFindings(source, key)),
   ];
   const { store, entries } = value as { store?: unknown; entries?: unknown };
   if (store !== undefined && typeof store !== 'string') {
     findings.push(source.findingAt(['store'], 'expected an address "ip:port"'));
   }
-  if (entries !== undefined && !isTexts(entries)) {
+  if (entries !== undefined && !isStringList(entries)) {
     findings.push(source.findingAt(['entries'], 'expected a list of addresses "ip:port"'));
   }
   return findings.length > 0 ? err(findings) : ok(value as TargetsFile);
 }
 
-function wrongKey(source: YamlSource, key: string): Finding[] {
-  if (KEYS.includes(key)) return [];
-  const near = nearestWord(key, KEYS);
-  const hint = near === undefined ? 'expected store or entries' : `did you mean "${near}"?`;
+function unknownKeyFindings(source: YamlSource, key: string): Finding[] {
+  if (TARGETS_FILE_KEYS.includes(key)) return [];
+  const nearest = nearestWord(key, TARGETS_FILE_KEYS);
+  const hint = nearest === undefined ? 'expected store or entries' : `did you mean "${nearest}"?`;
   return [source.findingAtKey([key], `found an unknown key, ${hint}`)];
 }
 
-function isTexts(value: unknown): value is string[] {
+function isStringList(value: unknown): value is string[] {
   return Array.isArray(value) && value.every((item) => typeof item === 'string');
 }
 
-function text(value: unknown): string | undefined {
+function textOrUndefined(value: unknown): string | undefined {
   return value === undefined ? undefined : String(value);
 }
 
-function usage(reason: string): Problem {
+function usageFailure(reason: string): CommandFailure {
   return { exitCode: exitCodes.usage, lines: [reason] };
 }
--- a/src/ctl/formatChanges.ts
+++ b/src/ctl/formatChanges.ts
@@ -1,24 +1,25 @@
 import type ManifestChange from './ManifestChange';
 
-/** Differences for people, `+` for what comes, `-` for what goes and `~` for what changes. */
+/** Formats differences as text: `+` marks an addition, `-` a removal and `~` a changed value. */
 export default function formatChanges(changes: readonly ManifestChange[]): string[] {
   return changes.flatMap(formatChange);
 }
 
 function formatChange({ kind, path, before, after }: ManifestChange): string[] {
-  if (kind === 'changed') return [`  ~ ${path}: ${show(before)} -> ${show(after)}`];
-  if (kind === 'removed') return [`  - ${path}${isWhole(before) ? '' : `: ${show(before)}`}`];
-  if (!isWhole(after)) return [`  + ${path}: ${show(after)}`];
+  if (kind === 'changed') return [`  ~ ${path}: ${formatValue(before)} -> ${formatValue(after)}`];
+  if (kind === 'removed')
+    return [`  - ${path}${isMapping(before) ? '' : `: ${formatValue(before)}`}`];
+  if (!isMapping(after)) return [`  + ${path}: ${formatValue(after)}`];
   const fields = Object.entries(after).filter(([name]) => name !== 'name');
-  return [`  + ${path}`, ...fields.map(([name, value]) => `      ${name}: ${show(value)}`)];
+  return [`  + ${path}`, ...fields.map(([name, value]) => `      ${name}: ${formatValue(value)}`)];
 }
 
-function isWhole(value: unknown): value is object {
+function isMapping(value: unknown): value is object {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function show(value: unknown): string {
-  if (!isWhole(value)) return JSON.stringify(value);
-  const fields = Object.entries(value).map(([name, field]) => `${name} ${show(field)}`);
+function formatValue(value: unknown): string {
+  if (!isMapping(value)) return JSON.stringify(value);
+  const fields = Object.entries(value).map(([name, field]) => `${name} ${formatValue(field)}`);
   return `{ ${fields.join(', ')} }`;
 }
--- a/src/ctl/causesOf.ts
+++ b/src/ctl/groupFailures.ts
@@ -1,27 +1,27 @@
 import type LogLine from './LogLine';
 
-/** Requests of one window of time that got no result for the same reason, or a fault of a process. */
-interface Cause {
-  /** Begin of the window, ms since the first line. */
+/** Requests that got no result for the same reason within one time window, or a fault of a process. */
+interface FailureGroup {
+  /** Start of the window, ms after the first line. */
   readonly atMs: number;
   readonly reason: string;
-  /** How many; 0 for a fault, which says nothing of requests. */
+  /** Number of requests; 0 for a fault of a process, which does not count requests. */
   readonly requests: number;
-  /** The id of one of them, to be explained; empty when the lines have none. */
+  /** Id of one of the requests, for use with the command `explain`; empty when no line has one. */
   readonly example: string;
 }
 
 /**
- * Groups the requests that got no result by the window of time in which they were answered and by the
- * reason given, in order of time and the most frequent reason first. Figures in reasons count as alike.
- * Faults of processes stand among them, since a process that ends writes nothing of the requests it held.
+ * Groups the requests that got no result by reason and by the time window in which they were answered,
+ * ordered by time, the most frequent reason first. Reasons that differ only in numbers are the same.
+ * Faults of processes are included, since a process that ends logs nothing about its pending requests.
  */
-export default function causesOf(lines: readonly LogLine[]): readonly Cause[] {
+export default function groupFailures(lines: readonly LogLine[]): readonly FailureGroup[] {
   const startMs = lines.reduce((first, { timeMs }) => Math.min(first, timeMs), Infinity);
-  const groups = new Map<string, Cause>();
+  const groups = new Map<string, FailureGroup>();
   lines.forEach((line) => {
-    const fault = faultOf(line);
-    const reason = fault ?? reasonOf(line);
+    const fault = processFaultOf(line);
+    const reason = fault ?? failureReasonOf(line);
     if (reason === undefined) return;
     const atMs = Math.floor((line.timeMs - startMs) / WINDOW_MS) * WINDOW_MS;
     const key = `${atMs} ${reason}`;
@@ -37,8 +37,8 @@
   return [...groups.values()].sort((a, b) => a.atMs - b.atMs || b.requests - a.requests);
 }
 
-/** What went wrong with the process itself, if the line says so. */
-function faultOf({ process, message, fields }: LogLine): string | undefined {
+/** The fault of the process itself, if the line reports one. */
+function processFaultOf({ process, message, fields }: LogLine): string | undefined {
   if (message === 'the process ends' && fields.exitCode !== 0) {
     return `${process} ends: ${String(fields.reason)}`;
   }
@@ -47,8 +47,8 @@
   return `${process}: ${message}: ${String(name)}: ${String(text)}`;
 }
 
-/** Why a request got no result, if the line says so. */
-function reasonOf({ message, fields }: LogLine): string | undefined {
+/** Why a request got no result, if the line reports that. */
+function failureReasonOf({ message, fields }: LogLine): string | undefined {
   const reason = String(fields.reason ?? '').replace(/\d+/g, 'N');
   if (message === 'a batch is answered') {
     return fields.kind === 'completed' ? undefined : `${String(fields.kind)}: ${reason}`;
@@ -57,5 +57,5 @@
   return message.startsWith('a request is refused') ? message : undefined;
 }
 
-/** Length of a window, ms: short enough to tell a trouble from what follows it. */
+/** Length of a time window: short enough to separate a fault from its consequences. */
 const WINDOW_MS = 2_000;
--- a/src/ctl/history.ts
+++ b/src/ctl/history.ts
@@ -1,34 +1,34 @@
 import { err } from 'neverthrow';
 import type Command from './Command';
 import compareManifests from './compareManifests';
-import completed from './completed';
+import withDefaults from './withDefaults';
 import findTargets from './findTargets';
 import formatTable from './formatTable';
 import ManifestStore from './ManifestStore';
-import type Report from './Report';
-import reporting from './reporting';
+import type CommandReport from './CommandReport';
+import printResultOf from './printResultOf';
 import type StoredManifest from './StoredManifest';
 import targetOptions from './targetOptions';
 
-/** Lists the versions applied lately. */
+/** Lists the applied versions that the store still holds. */
 const history: Command = {
   args: '',
   description: 'List the versions that were applied, the newest first',
   options: [targetOptions.store, targetOptions.targets],
-  run: reporting(async (input, context) => {
+  run: printResultOf(async (input, context) => {
     const targets = await findTargets(input, context, ['store']);
     if (targets.isErr()) return err(targets.error);
-    return ManifestStore.at(targets.value.store!, context).kept().map(describe);
+    return ManifestStore.at(targets.value.store!, context).listVersions().map(describe);
   }),
 };
 
 export default history;
 
-function describe(kept: readonly StoredManifest[]): Report {
-  const versions = kept.map((stored, at) => ({
+function describe(newestFirst: readonly StoredManifest[]): CommandReport {
+  const versions = newestFirst.map((stored, index) => ({
     ...stored,
-    inForce: at === 0,
-    changes: changesIn(stored, kept[at + 1]),
+    inForce: index === 0,
+    changes: changesIn(stored, newestFirst[index + 1]),
   }));
   if (versions.length === 0) return { lines: ['No version was applied yet.'], json: { versions } };
   const rows = versions.map(({ version, appliedAt, rollbackOf, inForce, changes }) => [
@@ -45,8 +45,8 @@
   };
 }
 
-/** The differences to the version before; undefined when that is not kept. */
-function changesIn(stored: StoredManifest, before: StoredManifest | undefined) {
-  if (!before && stored.version > 1) return undefined;
-  return compareManifests(completed(before), completed(stored));
+/** The differences from the previous version; undefined when that is no longer stored. */
+function changesIn(stored: StoredManifest, previous: StoredManifest | undefined) {
+  if (!previous && stored.version > 1) return undefined;
+  return compareManifests(withDefaults(previous), withDefaults(stored));
 }
--- a/src/ctl/limitOption.ts
+++ b/src/ctl/limitOption.ts
@@ -1,6 +1,6 @@
 import type CommandOption from './CommandOption';
 
-/** How long a command with --wait waits. */
+/** Time limit of --wait. */
 const limitOption: CommandOption = {
   flags: '--limit <seconds>',
   description: 'Longest time that --wait takes',
--- a/src/ctl/makePlan.ts
+++ b/src/ctl/makePlan.ts
@@ -1,19 +1,19 @@
 import { err, ok, type Result } from 'neverthrow';
 import type CommandInput from './CommandInput';
 import compareManifests from './compareManifests';
-import completed from './completed';
+import withDefaults from './withDefaults';
 import type CtlContext from './CtlContext';
 import findTargets from './findTargets';
 import ManifestStore from './ManifestStore';
 import type ManifestPlan from './ManifestPlan';
-import type Problem from './Problem';
+import type CommandFailure from './CommandFailure';
 import readManifest from './readManifest';
 
-/** Compares the manifest file that a command names with the manifest in force. */
+/** Compares the manifest file given to a command with the active manifest. */
 export default async function makePlan(
   input: CommandInput,
   context: CtlContext,
-): Promise<Result<ManifestPlan, Problem>> {
+): Promise<Result<ManifestPlan, CommandFailure>> {
   const manifest = await readManifest(input.args[0] ?? '');
   if (manifest.isErr()) return err(manifest.error);
   const targets = await findTargets(input, context, ['store']);
@@ -21,6 +21,6 @@
   const store = ManifestStore.at(targets.value.store!, context);
   const current = await store.current();
   if (current.isErr()) return err(current.error);
-  const changes = compareManifests(completed(current.value), manifest.value);
+  const changes = compareManifests(withDefaults(current.value), manifest.value);
   return ok({ store, manifest: manifest.value, current: current.value, changes });
 }
--- a/src/ctl/plan.ts
+++ b/src/ctl/plan.ts
@@ -3,26 +3,26 @@
 import formatChanges from './formatChanges';
 import makePlan from './makePlan';
 import type ManifestPlan from './ManifestPlan';
-import type Report from './Report';
-import reporting from './reporting';
+import type CommandReport from './CommandReport';
+import printResultOf from './printResultOf';
 import targetOptions from './targetOptions';
 
-/** Shows what applying a manifest would change. */
+/** Shows what applying a manifest would change, without applying it. */
 const plan: Command = {
   args: '<file>',
   description: 'Show what applying a manifest would change, and change nothing',
   options: [targetOptions.store, targetOptions.targets],
-  run: reporting(async (input, context) => (await makePlan(input, context)).map(describe)),
+  run: printResultOf(async (input, context) => (await makePlan(input, context)).map(describe)),
 };
 
 export default plan;
 
-function describe({ current, changes }: ManifestPlan): Report {
+function describe({ current, changes }: ManifestPlan): CommandReport {
   const version = current?.version ?? 0;
-  const head = `In force: ${describeVersion(current)}`;
+  const heading = `In force: ${describeVersion(current)}`;
   const lines =
     changes.length === 0
-      ? [head, 'The manifest changes nothing.']
-      : [head, `Version ${version + 1} would change:`, ...formatChanges(changes)];
+      ? [heading, 'The manifest changes nothing.']
+      : [heading, `Version ${version + 1} would change:`, ...formatChanges(changes)];
   return { lines, json: { version, changes } };
 }
--- a/src/ctl/reporting.ts
+++ b/src/ctl/printResultOf.ts
@@ -3,15 +3,18 @@
 import type Command from './Command';
 import type CommandInput from './CommandInput';
 import type CtlContext from './CtlContext';
-import type Problem from './Problem';
-import type Report from './Report';
+import type CommandFailure from './CommandFailure';
+import type CommandReport from './CommandReport';
 
-/** Makes a command's `run` of what it does: prints its report or its problem, as text or JSON. */
-export default function reporting(
-  work: (input: CommandInput, context: CtlContext) => Promise<Result<Report, Problem>>,
+/** Creates a command's `run` from a function that returns its result: prints the report or the failure, as text or JSON. */
+export default function printResultOf(
+  execute: (
+    input: CommandInput,
+    context: CtlContext,
+  ) => Promise<Result<CommandReport, CommandFailure>>,
 ): Command['run'] {
   return async (input, terminal, context) => {
-    const result = await work(input, context);
+    const result = await execute(input, context);
     if (result.isOk()) {
       const { lines, json, exitCode = exitCodes.ok } = result.value;
       if (input.json) terminal.print(JSON.stringify(json));
--- a/src/ctl/readFiles.ts
+++ b/src/ctl/readFiles.ts
@@ -3,7 +3,7 @@
 import type Terminal from '../core/Terminal';
 import formatFinding from '../settings/formatFinding';
 
-/** Reads the files that a command was given; tells which cannot be read, and then returns nothing. */
+/** Reads the files given to a command. If one cannot be read, prints why and returns undefined. */
 export default async function readFiles<Content>(
   files: readonly string[],
   read: (file: string) => ResultAsync<Content, readonly Finding[]>,
--- a/src/ctl/readLogLines.ts
+++ b/src/ctl/readLogLines.ts
@@ -1,19 +1,19 @@
 import type LogLine from './LogLine';
 
 /**
- * Reads the log lines in a text; other lines are passed over. A collector may have put the name of
- * the process before each line, or before the first of several that were written together, as in
- * `12.345 entry-1 {"message":...}`; else all are of `process`.
+ * Parses the log lines in a text and skips all other lines. A log collector may have put the process
+ * name in front of each line, or only of the first of several lines written together, as in
+ * `12.345 entry-1 {"message":...}`. Lines before the first such name are attributed to `process`.
  */
 export default function readLogLines(text: string, process: string): readonly LogLine[] {
-  let newest = process;
+  let currentProcess = process;
   return text.split('\n').flatMap((line) => {
-    const at = line.indexOf('{"');
-    if (at < 0) return [];
-    const name = line.slice(0, at).trim().split(/\s+/).pop() ?? '';
-    if (name !== '') newest = name;
-    const read = parse(line.slice(at));
-    return read ? [{ ...read, process: newest }] : [];
+    const start = line.indexOf('{"');
+    if (start < 0) return [];
+    const name = line.slice(0, start).trim().split(/\s+/).pop() ?? '';
+    if (name !== '') currentProcess = name;
+    const parsed = parse(line.slice(start));
+    return parsed ? [{ ...parsed, process: currentProcess }] : [];
   });
 }
 
--- a/src/ctl/readSpans.ts
+++ b/src/ctl/readSpans.ts
@@ -1,14 +1,16 @@
 import type TraceSpan from './TraceSpan';
 
-/** Reads the spans in exported text, one OTLP export request a line; other lines are passed over. */
+/** Parses exported spans, one OTLP export request per line in JSON. Skips all other lines. */
 export default function readSpans(text: string): readonly TraceSpan[] {
   return text
     .split('\n')
     .filter((line) => line.includes('"resourceSpans"'))
     .flatMap((line) => parseLine(line)?.resourceSpans ?? [])
     .flatMap(({ resource, scopeSpans = [] }) => {
-      const about = attributesOf(resource?.attributes);
-      const process = String(about['service.instance.id'] ?? about['service.name'] ?? '');
+      const resourceAttributes = attributesOf(resource?.attributes);
+      const process = String(
+        resourceAttributes['service.instance.id'] ?? resourceAttributes['service.name'] ?? '',
+      );
       const spans = scopeSpans.flatMap((scope) => scope.spans ?? []);
       return spans.map((span) => spanOf(span, process));
     });
@@ -37,9 +39,9 @@
   }[];
 }
 
-const ERROR = 2;
+const STATUS_ERROR = 2;
 
-const PREFIX = /^magnoliakeel\./;
+const ATTRIBUTE_PREFIX = /^magnoliakeel\./;
 
 function parseLine(line: string): OtlpRequest | undefined {
   try {
@@ -50,7 +52,7 @@
 }
 
 function spanOf(span: OtlpSpan, process: string): TraceSpan {
-  const start = BigInt(span.startTimeUnixNano);
+  const startNanos = BigInt(span.startTimeUnixNano);
   const { code, message = '' } = span.status ?? {};
   return {
     traceId: span.traceId,
@@ -58,19 +60,19 @@
     parentId: span.parentSpanId ?? '',
     name: span.name,
     process,
-    startMs: msOf(start),
-    tookMs: msOf(BigInt(span.endTimeUnixNano) - start),
-    error: code === ERROR ? message || 'failed' : undefined,
+    startMs: msOf(startNanos),
+    tookMs: msOf(BigInt(span.endTimeUnixNano) - startNanos),
+    error: code === STATUS_ERROR ? message || 'failed' : undefined,
     attributes: attributesOf(span.attributes),
   };
 }
 
 function attributesOf(attributes: readonly Attribute[] = []): Record<string, unknown> {
-  const pairs = attributes.map(({ key, value = {} }) => [
-    key.replace(PREFIX, ''),
+  const entries = attributes.map(({ key, value = {} }) => [
+    key.replace(ATTRIBUTE_PREFIX, ''),
     Object.values(value)[0],
   ]);
-  return Object.fromEntries(pairs);
+  return Object.fromEntries(entries);
 }
 
 function msOf(nanos: bigint): number {
--- a/src/ctl/askEntries.ts
+++ b/src/ctl/requestFromAnyEntry.ts
@@ -2,14 +2,14 @@
 import exitCodes from '../core/exitCodes';
 import type CtlContext from './CtlContext';
 import type OperatorAnswer from './OperatorAnswer';
-import type Problem from './Problem';
+import type CommandFailure from './CommandFailure';
 
-/** Asks the entries one after the other until one answers. */
-export default async function askEntries(
+/** Sends a GET request to the entries in order and returns the first response. Fails if no entry answers. */
+export default async function requestFromAnyEntry(
   entries: readonly string[],
   path: string,
   { operators }: CtlContext,
-): Promise<Result<OperatorAnswer, Problem>> {
+): Promise<Result<OperatorAnswer, CommandFailure>> {
   const reasons: string[] = [];
   for (const entry of entries) {
     const answer = await operators.request('GET', entry, path);
--- a/src/ctl/rollback.ts
+++ b/src/ctl/rollback.ts
@@ -4,18 +4,18 @@
 import type CommandInput from './CommandInput';
 import commitAndWait from './commitAndWait';
 import compareManifests from './compareManifests';
-import completed from './completed';
+import withDefaults from './withDefaults';
 import type CtlContext from './CtlContext';
 import findTargets from './findTargets';
 import limitOption from './limitOption';
 import ManifestStore from './ManifestStore';
 import type ManifestPlan from './ManifestPlan';
-import type Problem from './Problem';
+import type CommandFailure from './CommandFailure';
 import readNumber from './readNumber';
-import reporting from './reporting';
+import printResultOf from './printResultOf';
 import targetOptions from './targetOptions';
 
-/** Applies an earlier version's manifest again, as a new version. */
+/** Applies the manifest of an earlier version again, as a new version. */
 const rollback: Command = {
   args: '<version>',
   description: "Put an earlier version's manifest in force again, as a new version",
@@ -29,7 +29,7 @@
     },
     limitOption,
   ],
-  run: reporting(async (input, context) => {
+  run: printResultOf(async (input, context) => {
     const version = readNumber('<version>', input.args[0]);
     if (version.isErr()) return err(version.error);
     const makePlan = () => planRollback(input, context, version.value);
@@ -43,26 +43,31 @@
   input: CommandInput,
   context: CtlContext,
   version: number,
-): Promise<Result<ManifestPlan, Problem>> {
+): Promise<Result<ManifestPlan, CommandFailure>> {
   const targets = await findTargets(input, context, ['store']);
   if (targets.isErr()) return err(targets.error);
   const store = ManifestStore.at(targets.value.store!, context);
-  const kept = await store.kept();
+  const kept = await store.listVersions();
   if (kept.isErr()) return err(kept.error);
   const wanted = kept.value.find((stored) => stored.version === version);
   if (!wanted)
     return err(
-      notKept(
+      versionNotFound(
         version,
         kept.value.map((stored) => stored.version),
       ),
     );
   const current = kept.value[0];
-  const manifest = completed(wanted);
-  return ok({ store, manifest, current, changes: compareManifests(completed(current), manifest) });
+  const manifest = withDefaults(wanted);
+  return ok({
+    store,
+    manifest,
+    current,
+    changes: compareManifests(withDefaults(current), manifest),
+  });
 }
 
-function notKept(version: number, kept: readonly number[]): Problem {
+function versionNotFound(version: number, kept: readonly number[]): CommandFailure {
   const known = kept.length === 0 ? 'there is none yet' : `kept are ${kept.join(', ')}`;
   return {
     exitCode: exitCodes.notFound,
--- a/src/ctl/runCtl.ts
+++ b/src/ctl/runCtl.ts
@@ -11,9 +11,9 @@
 const NAME = 'magnoliakeelctl';
 
 /**
- * Runs the command that the command line names.
- * @param argv the arguments after the program's name
- * @param context what commands reach the outside with
+ * Runs the command that is named on the command line and returns its exit code.
+ * @param argv the arguments after the program name
+ * @param context external dependencies of the commands
  */
 export default async function runCtl(
   argv: readonly string[],
@@ -24,7 +24,7 @@
   const { options } = cli.parse(['node', NAME, ...argv], { run: false });
   if (options.help || options.version) return exitCodes.ok;
   const command = commands[cli.matchedCommandName ?? ''];
-  const mistake = command ? findUsageMistake(cli) : describeUnknown(cli.args[0]);
+  const mistake = command ? findUsageMistake(cli) : describeUnknownCommand(cli.args[0]);
   if (!command || mistake !== undefined) {
     terminal.warn(`${NAME}: ${mistake}\nRun \`${NAME} --help\` for its use.`);
     return exitCodes.usage;
@@ -55,11 +55,13 @@
   return cli.help((sections) => [...sections, { title: 'Exit codes', body: HELP_EXIT_CODES }]);
 }
 
-function describeUnknown(name: string | undefined): string {
+function describeUnknownCommand(name: string | undefined): string {
   const known = Object.keys(commands);
   if (name === undefined) return `a command is missing, one of ${known.join(', ')}`;
-  const near = nearestWord(String(name), known);
+  const nearest = nearestWord(String(name), known);
   const hint =
-    near === undefined ? `, expected one of ${known.join(', ')}` : `, did you mean "${near}"?`;
+    nearest === undefined
+      ? `, expected one of ${known.join(', ')}`
+      : `, did you mean "${nearest}"?`;
   return `unknown command "${name}"${hint}`;
 }
--- a/src/ctl/status.ts
+++ b/src/ctl/status.ts
@@ -5,16 +5,16 @@
 import fetchStatus from './fetchStatus';
 import findTargets from './findTargets';
 import formatTable from './formatTable';
-import type Report from './Report';
-import reporting from './reporting';
+import type CommandReport from './CommandReport';
+import printResultOf from './printResultOf';
 import targetOptions from './targetOptions';
 
-/** Shows all processes of the system. */
+/** Shows the state of all processes of the system. */
 const status: Command = {
   args: '',
   description: 'Show every process with its role, zone, versions, queue and state',
   options: [targetOptions.entry, targetOptions.targets],
-  run: reporting(async (input, context) => {
+  run: printResultOf(async (input, context) => {
     const targets = await findTargets(input, context, ['entry']);
     if (targets.isErr()) return err(targets.error);
     return (await fetchStatus(targets.value.entries, context)).map(describe);
@@ -23,7 +23,7 @@
 
 export default status;
 
-function describe(system: SystemStatus): Report {
+function describe(system: SystemStatus): CommandReport {
   const { asked, viewNumber, configurationVersion, processes } = system;
   const count = (role: string) => processes.filter((process) => process.role === role).length;
   const versions = new Set(processes.map((process) => process.configurationVersion));
@@ -32,14 +32,14 @@
     lines: [
       `${count('entry')} entries, ${count('sidecar')} sidecars; view ${viewNumber}, version ${configurationVersion} in force${where}`,
       '',
-      ...formatTable([HEAD, ...processes.map(rowOf)]),
+      ...formatTable([HEADER, ...processes.map(rowOf)]),
       ...serviceLines(processes),
     ],
     json: system,
   };
 }
 
-const HEAD = [
+const HEADER = [
   ...['INSTANCE', 'ROLE', 'ZONE', 'VERSION', 'VIEW', 'JOBS'],
   ...['QUEUE', 'IDLE', 'LINKS', 'SERVICES', 'OPERATORS', 'STATE'],
 ];
@@ -48,14 +48,14 @@
   const { instance, role, zone, configurationVersion, viewNumber, operators } = process;
   const { jobs, loads, links, services, reachable } = process;
   const isSidecar = role === 'sidecar';
-  const isTelling = role === 'entry' && reachable;
+  const isAnsweringEntry = role === 'entry' && reachable;
   return [
     ...[instance, role, zone],
-    isSidecar || isTelling ? configurationVersion : '-',
-    isTelling ? viewNumber : '-',
-    isTelling ? jobs : '-',
-    isTelling ? sum(loads.map(({ queued }) => queued)) : '-',
-    isTelling ? sum(loads.map(({ idle }) => idle)) : '-',
+    isSidecar || isAnsweringEntry ? configurationVersion : '-',
+    isAnsweringEntry ? viewNumber : '-',
+    isAnsweringEntry ? jobs : '-',
+    isAnsweringEntry ? sum(loads.map(({ queued }) => queued)) : '-',
+    isAnsweringEntry ? sum(loads.map(({ idle }) => idle)) : '-',
     isSidecar ? links : '-',
     isSidecar ? services.join(',') || 'none' : '-',
     operators || '-',
@@ -73,14 +73,14 @@
   const names = [...new Set(loads.map(({ service }) => service))].sort();
   if (names.length === 0) return [];
   const rows = names.map((name) => {
-    const own = loads.filter(({ service }) => service === name);
-    const running = own.flatMap(({ teams }) => teams.map((team) => team.running));
+    const serviceLoads = loads.filter(({ service }) => service === name);
+    const running = serviceLoads.flatMap(({ teams }) => teams.map((team) => team.running));
     return [
       name,
-      sum(own.map(({ queued }) => queued)),
-      Math.max(...own.map(({ oldestWaitMs }) => oldestWaitMs)),
+      sum(serviceLoads.map(({ queued }) => queued)),
+      Math.max(...serviceLoads.map(({ oldestWaitMs }) => oldestWaitMs)),
       sum(running),
-      sum(own.map(({ idle }) => idle)),
+      sum(serviceLoads.map(({ idle }) => idle)),
     ];
   });
   const head = ['SERVICE', 'QUEUE', 'OLDEST MS', 'RUNNING', 'IDLE'];
--- a/src/ctl/targetOptions.ts
+++ b/src/ctl/targetOptions.ts
@@ -1,6 +1,6 @@
 import type CommandOption from './CommandOption';
 
-/** The options by which a command finds the system. */
+/** Options that give the addresses of the system. */
 const targetOptions: Readonly<Record<'store' | 'entry' | 'targets', CommandOption>> = {
   store: {
     flags: '--store <address>',
@@ -8,7 +8,7 @@
   },
   entry: {
     flags: '--entry <addresses>',
-    description: "Operators' addresses of entries, with commas between; else MAGNOLIAKEEL_ENTRY",
+    description: "Operators' addresses of entries, separated by commas; else MAGNOLIAKEEL_ENTRY",
   },
   targets: {
     flags: '--targets <file>',
--- a/src/ctl/trace.ts
+++ b/src/ctl/trace.ts
@@ -10,7 +10,7 @@
 import traceRoots from './traceRoots';
 import type TraceSpan from './TraceSpan';
 
-/** Shows a trace from spans that processes wrote to files, without any connection. */
+/** Shows a trace from exported spans in files, without connecting to the system. */
 const trace: Command = {
   args: '<...files>',
   description: 'Show one trace as a tree, from files with exported spans (JSON lines)',
@@ -26,39 +26,46 @@
   const texts = await readFiles(input.args, readText, terminal);
   if (!texts) return exitCodes.badFile;
   const { id = '' } = input.options;
-  const spans = texts.flatMap(readSpans).filter(({ traceId }) => begins(traceId, id));
-  const traces = byTrace(spans);
+  const spans = texts.flatMap(readSpans).filter(({ traceId }) => matchesId(traceId, id));
+  const traces = groupByTrace(spans);
   if (traces.length === 0) {
     terminal.warn(id === '' ? 'no spans in these files' : `no trace ${String(id)} in these files`);
     return exitCodes.notFound;
   }
-  if (traces.length === 1) show(traces[0]!, input.json, terminal);
-  else list(traces, input.json, terminal);
+  if (traces.length === 1) printTrace(traces[0]!, input.json, terminal);
+  else printTraceList(traces, input.json, terminal);
   return exitCodes.ok;
 }
 
-/** The command line turns what looks like a number into one, as `0123` or `12e4`. */
-function begins(traceId: string, id: unknown): boolean {
+/**
+ * Whether a trace id begins with `id`. The command-line parser turns an id that looks like a number,
+ * such as `0123` or `12e4`, into a number.
+ */
+function matchesId(traceId: string, id: unknown): boolean {
   if (typeof id !== 'number') return traceId.startsWith(String(id));
   return [...traceId].some((_, index) => Number(traceId.slice(0, index + 1)) === id);
 }
 
-function byTrace(spans: readonly TraceSpan[]): readonly (readonly TraceSpan[])[] {
+function groupByTrace(spans: readonly TraceSpan[]): readonly (readonly TraceSpan[])[] {
   const traces = new Map<string, TraceSpan[]>();
   spans.forEach((span) => {
-    const known = traces.get(span.traceId);
-    if (known) known.push(span);
+    const group = traces.get(span.traceId);
+    if (group) group.push(span);
     else traces.set(span.traceId, [span]);
   });
   return [...traces.values()];
 }
 
-function show(spans: readonly TraceSpan[], json: boolean, terminal: Terminal): void {
+function printTrace(spans: readonly TraceSpan[], json: boolean, terminal: Terminal): void {
   const roots = traceRoots(spans);
   terminal.print(json ? JSON.stringify({ trace: spans[0]!.traceId, roots }) : renderTrace(roots));
 }
 
-function list(traces: readonly (readonly TraceSpan[])[], json: boolean, terminal: Terminal): void {
+function printTraceList(
+  traces: readonly (readonly TraceSpan[])[],
+  json: boolean,
+  terminal: Terminal,
+): void {
   const rows = traces.map((spans) => {
     const [root] = traceRoots(spans);
     const { traceId, name, tookMs } = root!.span;
@@ -69,7 +76,7 @@
     return;
   }
   rows
-    .sort((one, other) => other.tookMs - one.tookMs)
+    .sort((a, b) => b.tookMs - a.tookMs)
     .forEach(({ trace: id, spans, name, tookMs }) =>
       terminal.print(`${id}  ${name} for ${tookMs.toFixed(1)} ms, ${spans} spans`),
     );
--- a/src/ctl/traceRoots.ts
+++ b/src/ctl/traceRoots.ts
@@ -2,12 +2,12 @@
 import type TraceSpan from './TraceSpan';
 
 /**
- * Puts the spans of one trace together as trees. There is one root, unless spans in between were
- * not exported or the caller has spans of its own elsewhere; each root begins a part then.
+ * Builds the span trees of one trace. There is one root, unless the parents of some spans were not
+ * exported or are spans of the caller, which are exported elsewhere: each such span is then a root.
  */
 export default function traceRoots(spans: readonly TraceSpan[]): readonly TraceNode[] {
   const unique = [...new Map(spans.map((span) => [span.spanId, span])).values()];
-  const ordered = unique.sort((one, other) => one.startMs - other.startMs);
+  const ordered = unique.sort((a, b) => a.startMs - b.startMs);
   const known = new Set(ordered.map(({ spanId }) => spanId));
   const byParent = new Map<string, TraceSpan[]>();
   ordered.forEach((span) => {
--- a/src/ctl/validate.ts
+++ b/src/ctl/validate.ts
@@ -11,7 +11,7 @@
 import type Command from './Command';
 import type CommandInput from './CommandInput';
 
-/** Checks a settings file or a manifest, without any connection. */
+/** Checks a settings file or a manifest, without connecting to the system. */
 const validate: Command = {
   args: '<file>',
   description: 'Check a settings file or a manifest and print every mistake with its place',
@@ -30,7 +30,7 @@
 
 type Kind = keyof typeof loaders;
 
-interface Checked {
+interface CheckResult {
   readonly kind: Kind | 'unknown';
   readonly findings: readonly Finding[];
 }
@@ -38,8 +38,8 @@
 async function run(input: CommandInput, terminal: Terminal): Promise<ExitCode> {
   const file = input.args[0] ?? '';
   const checked = await readText(file).match(
-    (text) => check(text, file),
-    (findings): Checked => ({ kind: 'unknown', findings }),
+    (text) => checkText(text, file),
+    (findings): CheckResult => ({ kind: 'unknown', findings }),
   );
   const valid = checked.findings.length === 0;
   if (input.json) terminal.print(JSON.stringify({ file, valid, ...checked }));
@@ -48,7 +48,7 @@
   return valid ? exitCodes.ok : exitCodes.badFile;
 }
 
-function check(text: string, file: string): Checked {
+function checkText(text: string, file: string): CheckResult {
   const kind = kindOf(text, file);
   const findings = loaders[kind](text, file).match(
     () => [],
@@ -57,7 +57,7 @@
   return { kind, findings };
 }
 
-/** Settings have a role and addresses to listen on; anything else is taken for a manifest. */
+/** Settings have a role and addresses to listen on; anything else is treated as a manifest. */
 function kindOf(text: string, file: string): Kind {
   const value = YamlSource.parse(text, file).unwrapOr(undefined)?.value;
   if (typeof value !== 'object' || value === null) return 'manifest';
--- a/src/ctl/waitGone.ts
+++ b/src/ctl/waitUntilGone.ts
@@ -3,42 +3,42 @@
 import type ProcessStatus from '../operators/ProcessStatus';
 import type CtlContext from './CtlContext';
 import fetchStatus from './fetchStatus';
-import type Problem from './Problem';
-import type Report from './Report';
+import type CommandFailure from './CommandFailure';
+import type CommandReport from './CommandReport';
 
-/** Waits until a process that was asked to leave is gone from the system's status. */
-export default async function waitGone(
+/** Waits until a draining process is no longer listed in the system's status; fails after `timeoutMs`. */
+export default async function waitUntilGone(
   { instance, incarnation }: ProcessStatus,
   entries: readonly string[],
-  limitMs: number,
+  timeoutMs: number,
   context: CtlContext,
-): Promise<Result<Report, Problem>> {
+): Promise<Result<CommandReport, CommandFailure>> {
   const { timer } = context;
   const startedAt = timer.now();
   for (;;) {
     const status = await fetchStatus(entries, context);
-    const tookMs = Math.round(timer.now() - startedAt);
+    const waitedMs = Math.round(timer.now() - startedAt);
     const isGone = status.isOk() && !isListed(status.value.processes, incarnation);
     if (isGone) {
       return ok({
-        lines: [`${instance} has left after ${tookMs} ms.`],
-        json: { instance, incarnation, left: true, waitedMs: tookMs },
+        lines: [`${instance} has left after ${waitedMs} ms.`],
+        json: { instance, incarnation, left: true, waitedMs },
       });
     }
-    if (tookMs >= limitMs) {
-      return err(status.isErr() ? status.error : stillThere(instance, incarnation));
+    if (waitedMs >= timeoutMs) {
+      return err(status.isErr() ? status.error : notGone(instance, incarnation));
     }
-    await timer.sleep(POLL_MS);
+    await timer.sleep(POLL_INTERVAL_MS);
   }
 }
 
-const POLL_MS = 250;
+const POLL_INTERVAL_MS = 250;
 
 function isListed(processes: readonly ProcessStatus[], incarnation: string): boolean {
   return processes.some((process) => process.incarnation === incarnation);
 }
 
-function stillThere(instance: string, incarnation: string): Problem {
+function notGone(instance: string, incarnation: string): CommandFailure {
   return {
     exitCode: exitCodes.timedOut,
     lines: [`${instance} was asked to leave and is still there`],
--- a/test/ctl/causes.test.ts
+++ b/test/ctl/causes.test.ts
@@ -46,7 +46,7 @@
   return [code, ...terminal.lines].join('\n');
 }
 
-test('requests without a result are counted by moment and reason', async () => {
+test('counts requests without a result by time and reason', async () => {
   expect(await causes('e1.log')).toMatchInlineSnapshot(`
     "0
     out: from  requests  one of them  reason
@@ -56,7 +56,7 @@
   `);
 });
 
-test('faults of processes stand among them', async () => {
+test('lists faults of processes among the reasons', async () => {
   expect(await causes('e2.log')).toMatchInlineSnapshot(`
     "0
     out: from  requests  one of them  reason
@@ -66,9 +66,9 @@
   `);
 });
 
-test('files without such requests are told apart', async () => {
+test('reports that no request in the files went without a result', async () => {
   expect(await causes('calm.log')).toMatchInlineSnapshot(`
     "8
-    err: no request without a result is in these files"
+    err: these files contain no request without a result"
   `);
 });
