--- a/test/ctl/explain.test.ts
+++ b/test/ctl/explain.test.ts
@@ -7,7 +7,7 @@
 
 let folder: string;
 
-/** Lines of an entry and of a sidecar, as files of their own and as one that a collector has joined. */
+/** Writes the log lines of an entry and of a sidecar: a file for each, and one in which a log collector has merged both. */
 beforeAll(async () => {
   folder = await mkdtemp(path.join(tmpdir(), 'explain-'));
   const start = { step: 0, index: 0, attempt: 1, sidecar: 's1', freeMilli: 32000, reportAgeMs: 4 };
@@ -24,8 +24,8 @@
   ];
   await writeFile(path.join(folder, 'e1.log'), ['no JSON', ...entry].join('\n'));
   await writeFile(path.join(folder, 's1.log'), sidecar.join('\n'));
-  const joined = [...entry.map((line) => `0.1 e1 ${line}`), ...sidecar.map((line) => `s1 ${line}`)];
-  await writeFile(path.join(folder, 'all.log'), joined.join('\n'));
+  const merged = [...entry.map((line) => `0.1 e1 ${line}`), ...sidecar.map((line) => `s1 ${line}`)];
+  await writeFile(path.join(folder, 'all.log'), merged.join('\n'));
 });
 
 afterAll(() => rm(folder, { recursive: true }));
@@ -42,7 +42,7 @@
   return [code, ...terminal.lines].join('\n');
 }
 
-test('tells the story of a request from the lines of all processes, with their trouble meanwhile', async () => {
+test('shows the course of a request from the lines of all processes, with their own faults at that time', async () => {
   expect(await explain('a1', 'e1.log', 's1.log')).toMatchInlineSnapshot(`
     "0
     out:   0.000 s  e1  a batch is accepted  request=a1 queue=q tasks=1
@@ -53,18 +53,18 @@
   `);
 });
 
-test('reads lines that a collector has joined', async () => {
+test('reads lines that a log collector has merged', async () => {
   expect(await explain('a1', 'all.log')).toBe(await explain('a1', 'e1.log', 's1.log'));
 });
 
-test('leaves out what other requests met', async () => {
+test('leaves out lines of other requests and of processes that were not involved', async () => {
   expect(await explain('b2', 'e1.log', 's1.log')).toMatchInlineSnapshot(`
     "0
     out:   0.000 s  e1  a batch is accepted  request=b2 queue=q tasks=1"
   `);
 });
 
-test('says when no line names the request', async () => {
+test('reports that no line names the request', async () => {
   expect(await explain('c3', 'e1.log')).toMatchInlineSnapshot(`
     "8
     err: no line in these files names the request c3"
--- a/test/ctl/manifest.test.ts
+++ b/test/ctl/manifest.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest';
 import CtlCase from '../support/CtlCase';
 
-test('a plan shows what an apply would change and changes nothing', async () => {
-  const it = new CtlCase();
-  const planned = [await it.run('plan @first.yaml'), await it.run('apply @first.yaml')];
+test('plan shows what an apply would change and changes nothing', async () => {
+  const fixture = new CtlCase();
+  const outputs = [await fixture.run('plan @first.yaml'), await fixture.run('apply @first.yaml')];
   const lines = ['plan @second.yaml', 'plan @second.yaml --json', 'plan @first.yaml'];
-  for (const line of lines) planned.push(await it.run(line));
-  expect([...planned, await it.inForce()]).toMatchInlineSnapshot(`
+  for (const line of lines) outputs.push(await fixture.run(line));
+  expect([...outputs, await fixture.activeVersion()]).toMatchInlineSnapshot(`
     [
       "0
     out: In force: no version yet
@@ -65,11 +65,14 @@
   `);
 });
 
-test('the same manifest again changes nothing', async () => {
-  const it = new CtlCase();
-  await it.run('apply @first.yaml');
-  const again = [await it.run('apply @first.yaml'), await it.run('apply @first.yaml --planned 0')];
-  expect([...again, await it.inForce()]).toMatchInlineSnapshot(`
+test('applying the same manifest again changes nothing', async () => {
+  const fixture = new CtlCase();
+  await fixture.run('apply @first.yaml');
+  const outputs = [
+    await fixture.run('apply @first.yaml'),
+    await fixture.run('apply @first.yaml --planned 0'),
+  ];
+  expect([...outputs, await fixture.activeVersion()]).toMatchInlineSnapshot(`
     [
       "0
     out: In force already: version 1 (applied at 2025-01-01T00:00:00.000Z); nothing was changed.",
@@ -80,12 +83,12 @@
   `);
 });
 
-test('an apply planned against another version shows both and changes nothing', async () => {
-  const it = new CtlCase();
-  await it.run('apply @first.yaml');
+test('an apply planned against another version reports both versions and changes nothing', async () => {
+  const fixture = new CtlCase();
+  await fixture.run('apply @first.yaml');
   const lines = ['apply @second.yaml --planned 0', 'apply @second.yaml --planned 0 --json'];
-  const refused = [await it.run(lines[0]!), await it.run(lines[1]!)];
-  expect([...refused, await it.inForce()]).toMatchInlineSnapshot(`
+  const outputs = [await fixture.run(lines[0]!), await fixture.run(lines[1]!)];
+  expect([...outputs, await fixture.activeVersion()]).toMatchInlineSnapshot(`
     [
       "5
     err: planned against version 0, but in force is version 1 (applied at 2025-01-01T00:00:00.000Z); nothing was changed
@@ -110,14 +113,14 @@
   `);
 });
 
-test('of two racing applies one takes effect and the other shows both versions', async () => {
-  const it = new CtlCase();
-  let other = '';
-  it.rival = async () => {
-    other = await it.run('apply @second.yaml --json');
+test('of two concurrent applies one takes effect and the other reports both versions', async () => {
+  const fixture = new CtlCase();
+  let otherOutput = '';
+  fixture.beforeManifestWrite = async () => {
+    otherOutput = await fixture.run('apply @second.yaml --json');
   };
-  const raced = [await it.run('apply @first.yaml'), other.slice(0, 40)];
-  expect([...raced, await it.inForce()]).toMatchInlineSnapshot(`
+  const outputs = [await fixture.run('apply @first.yaml'), otherOutput.slice(0, 40)];
+  expect([...outputs, await fixture.activeVersion()]).toMatchInlineSnapshot(`
     [
       "5
     err: planned against version 0, but in force is version 1 (applied at 2025-01-01T00:00:00.000Z); nothing was changed
@@ -133,10 +136,11 @@
   `);
 });
 
-test('of two racing applies of one manifest both succeed, and one changes nothing', async () => {
-  const it = new CtlCase();
-  it.rival = () => it.run('apply @first.yaml');
-  expect([await it.run('apply @first.yaml'), await it.inForce()]).toMatchInlineSnapshot(`
+test('two concurrent applies of the same manifest both succeed, and one changes nothing', async () => {
+  const fixture = new CtlCase();
+  fixture.beforeManifestWrite = () => fixture.run('apply @first.yaml');
+  expect([await fixture.run('apply @first.yaml'), await fixture.activeVersion()])
+    .toMatchInlineSnapshot(`
     [
       "0
     out: In force already: version 1 (applied at 2025-01-01T00:00:00.000Z); nothing was changed.",
@@ -145,13 +149,13 @@
   `);
 });
 
-test('an apply whose answer is lost knows its own write again', async () => {
-  const it = new CtlCase();
-  await it.run('apply @first.yaml');
-  it.engine.setFaults({ answerLost: true });
-  const applied = await it.run('apply @second.yaml --json');
-  it.engine.setFaults({});
-  expect([applied, await it.inForce()]).toMatchInlineSnapshot(`
+test('an apply whose answer is lost recognises its own write', async () => {
+  const fixture = new CtlCase();
+  await fixture.run('apply @first.yaml');
+  fixture.engine.setFaults({ answerLost: true });
+  const applied = await fixture.run('apply @second.yaml --json');
+  fixture.engine.setFaults({});
+  expect([applied, await fixture.activeVersion()]).toMatchInlineSnapshot(`
     [
       "0
     out: {"applied":true,"version":2,"applyId":"apply-2","appliedAt":"2025-01-01T00:00:00.000Z","changes":[{"kind":"changed","path":"services.booking.timeoutMs","before":8000,"after":9000},{"kind":"added","path":"services.availability","after":{"name":"availability","idempotent":true,"maxTasks":320,"maxTaskBytes":65536,"maxOutputBytes":65536,"timeoutMs":10000,"jobTimeoutMs":120000,"retentionMs":600000,"retryBudget":0.1,"queue":{"maxTasks":100000},"eject":{"failureShare":0.5,"minTasks":20,"windowMs":10000,"probationMs":5000,"maxShare":0.3}}},{"kind":"removed","path":"teams.web","before":{"name":"web","share":3}}]}",
@@ -160,14 +164,14 @@
   `);
 });
 
-test('a store that is down, a wrong file or a missing address are told apart', async () => {
-  const it = new CtlCase();
-  it.engine.setFaults({ down: true });
+test('an unreachable store, a wrong file and a malformed address are reported differently', async () => {
+  const fixture = new CtlCase();
+  fixture.engine.setFaults({ down: true });
   const lines = ['apply @first.yaml', 'apply @wrong.yaml', 'plan @none.yaml', 'rollback x'];
   lines.push('plan @first.yaml --store nowhere', 'plan @first.yaml --targets @wrong.yaml');
-  const told: string[] = [];
-  for (const line of lines) told.push(await it.run(line));
-  expect(told).toMatchInlineSnapshot(`
+  const outputs: string[] = [];
+  for (const line of lines) outputs.push(await fixture.run(line));
+  expect(outputs).toMatchInlineSnapshot(`
     [
       "6
     err: the store does not answer: the store is down",
@@ -185,13 +189,13 @@
   `);
 });
 
-test('a rollback is a new version, and history lists all', async () => {
-  const it = new CtlCase();
+test('a rollback creates a new version, and history lists all versions', async () => {
+  const fixture = new CtlCase();
   const lines = ['history', 'apply @first.yaml', 'apply @second.yaml', 'rollback 1', 'rollback 1'];
   lines.push('rollback 7', 'history');
-  const told: string[] = [];
-  for (const line of lines) told.push(await it.run(line));
-  expect(told).toMatchInlineSnapshot(`
+  const outputs: string[] = [];
+  for (const line of lines) outputs.push(await fixture.run(line));
+  expect(outputs).toMatchInlineSnapshot(`
     [
       "0
     out: No version was applied yet.",
@@ -245,24 +249,24 @@
 });
 
 test('history keeps the last twenty versions', async () => {
-  const it = new CtlCase();
-  for (let at = 0; at < 26; at += 1) {
-    await it.run(`apply @${at % 2 === 0 ? 'first' : 'second'}.yaml`);
+  const fixture = new CtlCase();
+  for (let index = 0; index < 26; index += 1) {
+    await fixture.run(`apply @${index % 2 === 0 ? 'first' : 'second'}.yaml`);
   }
-  const { versions } = JSON.parse((await it.run('history --json')).replace(/^0\nout: /, ''));
+  const { versions } = JSON.parse((await fixture.run('history --json')).replace(/^0\nout: /, ''));
   expect(
     versions.map(({ version }: { version: number }) => version).join(' '),
   ).toMatchInlineSnapshot(`"26 25 24 23 22 21 20 19 18 17 16 15 14 13 12 11 10 9 8 7"`);
 });
 
-test('a waiting apply ends when every process has the version', async () => {
-  const it = new CtlCase();
-  const heardAt = it.timer.now() + 1_000;
-  it.tell(() => [
+test('apply --wait ends when the version is active at every process', async () => {
+  const fixture = new CtlCase();
+  const updatedAt = fixture.timer.now() + 1_000;
+  fixture.setStatus(() => [
     { instance: 'entry-1', configurationVersion: 1 },
-    { instance: 'sidecar-1', configurationVersion: it.timer.now() < heardAt ? 0 : 1 },
+    { instance: 'sidecar-1', configurationVersion: fixture.timer.now() < updatedAt ? 0 : 1 },
   ]);
-  expect(await it.run('apply @first.yaml --wait')).toMatchInlineSnapshot(`
+  expect(await fixture.run('apply @first.yaml --wait')).toMatchInlineSnapshot(`
     "0
     out: Applied version 1 (applied at 2025-01-01T00:00:00.000Z):
     out:   + services.booking
@@ -282,15 +286,15 @@
   `);
 });
 
-test('a waiting apply names the processes that do not have the version in time', async () => {
-  const it = new CtlCase();
-  it.tell(() => [
+test('apply --wait names the processes at which the version is not active in time', async () => {
+  const fixture = new CtlCase();
+  fixture.setStatus(() => [
     { instance: 'entry-1', configurationVersion: 1 },
     { instance: 'entry-2', configurationVersion: 0, reachable: false },
     { instance: 'sidecar-1', role: 'sidecar', configurationVersion: 0 },
   ]);
   const lines = ['apply @first.yaml --wait --limit 2', 'apply @first.yaml --wait --limit 2 --json'];
-  expect([await it.run(lines[0]!), await it.run(lines[1]!)]).toMatchInlineSnapshot(`
+  expect([await fixture.run(lines[0]!), await fixture.run(lines[1]!)]).toMatchInlineSnapshot(`
     [
       "7
     err: version 1 is not in force at 2 processes:
@@ -303,23 +307,23 @@
   `);
 });
 
-test('a removed service and team are kept for the work in flight, until that is forgotten', async () => {
-  const it = new CtlCase();
-  const retired: string[] = [];
+test('removed services and teams are kept until the retention of their jobs has ended', async () => {
+  const fixture = new CtlCase();
+  const retiredNames: string[] = [];
   const apply = async (file: string) => {
-    await it.run(`apply ${file}`);
-    const stored = JSON.parse((await it.engine.get('manifest')).unwrapOr(undefined)!.value);
+    await fixture.run(`apply ${file}`);
+    const stored = JSON.parse((await fixture.engine.get('manifest')).unwrapOr(undefined)!.value);
     const { services = [], teams = [] } = stored.retired ?? {};
-    retired.push([...services, ...teams].map(({ name }) => name).join(' '));
+    retiredNames.push([...services, ...teams].map(({ name }) => name).join(' '));
   };
   await apply('@first.yaml');
   await apply('@second.yaml');
   await apply('@none-of-them.yaml');
-  await it.timer.advance(600_000);
+  await fixture.timer.advance(600_000);
   await apply('@first.yaml');
-  await it.timer.advance(600_000);
+  await fixture.timer.advance(600_000);
   await apply('@second.yaml');
-  expect(retired).toMatchInlineSnapshot(`
+  expect(retiredNames).toMatchInlineSnapshot(`
     [
       "",
       "web",
--- a/test/ctl/operate.test.ts
+++ b/test/ctl/operate.test.ts
@@ -4,19 +4,19 @@
 const TEAMS = [{ team: 'web', running: 4, queued: 7 }];
 const LOADS = [{ service: 'booking', idle: 0, queued: 7, oldestWaitMs: 250, teams: TEAMS }];
 
-function running(): CtlCase {
-  const it = new CtlCase();
-  it.tell(() => [
+function systemOfFour(): CtlCase {
+  const fixture = new CtlCase();
+  fixture.setStatus(() => [
     { instance: 'entry-1', jobs: 12, loads: LOADS, operators: '10.0.0.1:1' },
     { instance: 'entry-2', reachable: false, configurationVersion: 0, viewNumber: 0 },
     { instance: 'sidecar-1', role: 'sidecar', operators: '10.0.0.9:1', services: ['booking'] },
     { instance: 'sidecar-2', role: 'sidecar', leaving: true, links: 2 },
   ]);
-  return it;
+  return fixture;
 }
 
 test('status shows every process and service', async () => {
-  expect(await running().run('status')).toMatchInlineSnapshot(`
+  expect(await systemOfFour().run('status')).toMatchInlineSnapshot(`
     "0
     out: 2 entries, 2 sidecars; view 4, version 2 in force at entry-2, not everywhere
     out: 
@@ -31,14 +31,14 @@
   `);
 });
 
-test('a process is drained by its name, and what cannot be is told', async () => {
-  const it = running();
-  it.answers.set('POST 10.0.0.9:1/v1/drain', () => ({ status: 202, body: { leaving: true } }));
+test('drain makes a process leave by its name, or reports why it cannot', async () => {
+  const fixture = systemOfFour();
+  fixture.answers.set('POST 10.0.0.9:1/v1/drain', () => ({ status: 202, body: { leaving: true } }));
   const lines = ['drain sidecar-1', 'drain sidecr-2', 'drain sidecar-2', 'drain entry-1 --json'];
   lines.push('drain sidecar-1 --wait --limit 1');
-  const told: string[] = [];
-  for (const line of lines) told.push(await it.run(line));
-  expect(told).toMatchInlineSnapshot(`
+  const outputs: string[] = [];
+  for (const line of lines) outputs.push(await fixture.run(line));
+  expect(outputs).toMatchInlineSnapshot(`
     [
       "0
     out: sidecar-1 finishes its work and leaves.",
@@ -54,20 +54,20 @@
   `);
 });
 
-test('a waiting drain ends when the process is gone', async () => {
-  const it = new CtlCase();
-  const goneAt = it.timer.now() + 1_000;
+test('drain --wait ends when the process is gone', async () => {
+  const fixture = new CtlCase();
+  const goneAt = fixture.timer.now() + 1_000;
   const sidecar = { instance: 'sidecar-1', operators: '10.0.0.9:1' };
-  it.tell(() => (it.timer.now() < goneAt ? [sidecar] : []));
-  it.answers.set('POST 10.0.0.9:1/v1/drain', () => ({ status: 202, body: { leaving: true } }));
-  expect(await it.run('drain sidecar-1 --wait')).toMatchInlineSnapshot(`
+  fixture.setStatus(() => (fixture.timer.now() < goneAt ? [sidecar] : []));
+  fixture.answers.set('POST 10.0.0.9:1/v1/drain', () => ({ status: 202, body: { leaving: true } }));
+  expect(await fixture.run('drain sidecar-1 --wait')).toMatchInlineSnapshot(`
     "0
     out: sidecar-1 has left after 1000 ms."
   `);
 });
 
-test('a job is found with the places of its tasks', async () => {
-  const it = running();
+test('jobs shows where the tasks of a job ran', async () => {
+  const fixture = systemOfFour();
   const tasks = [
     { index: 0, sidecar: 'sidecar-1.1', status: 'completed' },
     { index: 1, sidecar: '', status: 'waiting' },
@@ -78,12 +78,12 @@
     status: holders.length > 0 ? 200 : 404,
     body: { ...report, service, id: 'trip 1', holders },
   });
-  it.answers.set('GET 10.0.0.2:1/v1/jobs/booking/7?kind=job', answer('booking', [holder]));
-  it.answers.set('GET 10.0.0.2:1/v1/jobs/boking/7?kind=job', answer('boking', []));
+  fixture.answers.set('GET 10.0.0.2:1/v1/jobs/booking/7?kind=job', answer('booking', [holder]));
+  fixture.answers.set('GET 10.0.0.2:1/v1/jobs/boking/7?kind=job', answer('boking', []));
   const lines = ['jobs booking 7', 'jobs boking 7', 'jobs booking 7 --entry 10.0.0.8:1'];
-  const told: string[] = [];
-  for (const line of lines) told.push(await it.run(line));
-  expect(told).toMatchInlineSnapshot(`
+  const outputs: string[] = [];
+  for (const line of lines) outputs.push(await fixture.run(line));
+  expect(outputs).toMatchInlineSnapshot(`
     [
       "0
     out: booking/trip 1: pending, 1 of 2 tasks finished, at entry-1; its owner is entry-2
--- a/test/ctl/runCtl.test.ts
+++ b/test/ctl/runCtl.test.ts
@@ -8,7 +8,7 @@
   return [code, ...terminal.lines].join('\n');
 }
 
-test('validate tells settings from a manifest', async () => {
+test('validate distinguishes settings from a manifest', async () => {
   const lines = ['validate examples/sidecar.yaml', 'validate examples/manifest.yaml'];
   expect(await Promise.all(lines.map(run))).toMatchInlineSnapshot(`
     [
@@ -33,7 +33,7 @@
   `);
 });
 
-test('a wrong command line is told with the nearest command or option', async () => {
+test('a wrong command line is reported with the nearest command or option', async () => {
   const lines = ['', 'valdate x', 'toString', 'validate', 'validate a b', 'validate a --jsn'];
   expect(await Promise.all(lines.map(run))).toMatchInlineSnapshot(`
     [
--- a/test/ctl/trace.test.ts
+++ b/test/ctl/trace.test.ts
@@ -9,10 +9,10 @@
 
 beforeAll(async () => {
   folder = await mkdtemp(path.join(tmpdir(), 'trace-'));
-  const mine = [span('0123aa', '1', '', 0, 9), span('0123bb', '4', '', 5, 1)];
-  await writeFile(path.join(folder, 'e1'), `{"level":"info"}\n${lineOf('e1', mine)}\n`);
-  const others = [span('0123aa', '3', '2', 4, 2), span('0123aa', '2', '1', 1, 7)];
-  await writeFile(path.join(folder, 's1'), lineOf('s1', others));
+  const entrySpans = [span('0123aa', '1', '', 0, 9), span('0123bb', '4', '', 5, 1)];
+  await writeFile(path.join(folder, 'e1'), `{"level":"info"}\n${lineOf('e1', entrySpans)}\n`);
+  const sidecarSpans = [span('0123aa', '3', '2', 4, 2), span('0123aa', '2', '1', 1, 7)];
+  await writeFile(path.join(folder, 's1'), lineOf('s1', sidecarSpans));
 });
 
 afterAll(() => rm(folder, { recursive: true }));
@@ -24,7 +24,7 @@
   return [code, ...terminal.lines].join('\n');
 }
 
-test('puts one trace together from several files', async () => {
+test('assembles one trace from several files', async () => {
   expect(await run('--id', '0123a')).toMatchInlineSnapshot(`
     "0
     out: trace 0123aa: 3 spans of 2 processes, 9.0 ms
@@ -34,7 +34,7 @@
   `);
 });
 
-test('lists the traces when there are several', async () => {
+test('lists the traces when several match', async () => {
   expect(await run('--id', '0123')).toMatchInlineSnapshot(`
     "0
     out: 0123aa  hop1 for 9.0 ms, 3 spans
@@ -42,7 +42,7 @@
   `);
 });
 
-test('says when there is no such trace', async () => {
+test('reports that no trace matches', async () => {
   expect(await run('--id', 'ff')).toMatchInlineSnapshot(`
     "8
     err: no trace ff in these files"
--- a/test/support/CtlCase.ts
+++ b/test/support/CtlCase.ts
@@ -9,17 +9,17 @@
 import ManualTimer from './ManualTimer';
 import RecordingTerminal from './RecordingTerminal';
 
-/** The command-line tool against a stand-in of the store and scripted entries. */
+/** Test fixture: runs `magnoliakeelctl` against a simulated store and scripted entries. */
 export default class CtlCase {
   readonly timer = ManualTimer.create();
 
   readonly engine = Engine.create(this.timer);
 
-  /** What processes answer, by method, address and path; absent ones cannot be reached. */
+  /** Responses by method, address and path; other requests fail as unreachable. */
   readonly answers = new Map<string, () => OperatorAnswer>();
 
-  /** Another operator, who is faster: called just before the next write of the manifest. */
-  rival: (() => Promise<unknown>) | undefined;
+  /** Runs once just before the next write of the manifest, to simulate another operator's concurrent write. */
+  beforeManifestWrite: (() => Promise<unknown>) | undefined;
 
   private ids = 0;
 
@@ -27,7 +27,7 @@
     timer: this.timer,
     random: Random.fromSeed(1),
     environment: { MAGNOLIAKEEL_STORE: '10.0.0.5:1', MAGNOLIAKEEL_ENTRY: '10.0.0.1:1,10.0.0.2:1' },
-    openStore: () => this.contested(this.engine.client('ctl')),
+    openStore: () => this.withConcurrentWrite(this.engine.client('ctl')),
     newId: () => {
       this.ids += 1;
       return `apply-${this.ids}`;
@@ -40,7 +40,10 @@
     },
   };
 
-  /** Runs a command line, moving the time while it waits; returns its exit code and what it printed. */
+  /**
+   * Runs a command line, advancing the time while it waits; returns its exit code and output.
+   * `@` stands for the folder of the test manifests.
+   */
   async run(line: string): Promise<string> {
     const terminal = new RecordingTerminal();
     const argv = line.replaceAll('@', 'test/ctl/manifests/').split(' ').filter(Boolean);
@@ -49,7 +52,7 @@
     const code = running.finally(() => {
       ended = true;
     });
-    // Files are read in real time; the time of the case only moves for what waits for it.
+    // Files are read in real time, so the simulated time only advances while a timer is pending.
     while (!ended) {
       await ManualTimer.settle();
       if (!ended && this.timer.isAwaited) await this.timer.advance(STEP_MS);
@@ -57,18 +60,20 @@
     return [await code, ...terminal.lines].join('\n');
   }
 
-  /** Has the second entry tell this status; the first cannot be reached. */
-  tell(processes: () => readonly Partial<ProcessStatus>[]): void {
-    const status = () => ({ ...SYSTEM, processes: processes().map(completeStatus) });
+  /** Makes the second entry answer with this status; the first entry is unreachable. */
+  setStatus(processes: () => readonly Partial<ProcessStatus>[]): void {
+    const status = () => ({ ...SYSTEM, processes: processes().map(statusWithDefaults) });
     this.answers.set('GET 10.0.0.2:1/v1/status', () => ({ status: 200, body: status() }));
   }
 
-  private contested(store: Store): Store {
+  private withConcurrentWrite(store: Store): Store {
     const put: Store['put'] = (key, value, options) => {
-      const { rival } = this;
-      if (key !== 'manifest' || !rival) return store.put(key, value, options);
-      this.rival = undefined;
-      return ResultAsync.fromSafePromise(rival()).andThen(() => store.put(key, value, options));
+      const { beforeManifestWrite } = this;
+      if (key !== 'manifest' || !beforeManifestWrite) return store.put(key, value, options);
+      this.beforeManifestWrite = undefined;
+      return ResultAsync.fromSafePromise(beforeManifestWrite()).andThen(() =>
+        store.put(key, value, options),
+      );
     };
     return new Proxy(store, {
       get: (target, name) => {
@@ -79,8 +84,8 @@
     });
   }
 
-  /** Version and applier of the manifest in the store. */
-  async inForce(): Promise<string> {
+  /** Version and apply id of the manifest in the store. */
+  async activeVersion(): Promise<string> {
     const item = (await this.engine.get('manifest')).unwrapOr(undefined);
     const { version, applyId } = JSON.parse(item?.value ?? '{}');
     return `${version} by ${applyId}`;
@@ -91,11 +96,11 @@
 
 const SYSTEM = { asked: 'entry-2', viewNumber: 4, configurationVersion: 2 };
 
-function completeStatus(told: Partial<ProcessStatus>): ProcessStatus {
+function statusWithDefaults(given: Partial<ProcessStatus>): ProcessStatus {
   return {
-    ...{ role: 'entry', instance: '', incarnation: `${told.instance}.1`, zone: 'a' },
+    ...{ role: 'entry', instance: '', incarnation: `${given.instance}.1`, zone: 'a' },
     ...{ operators: '', configurationVersion: 2, viewNumber: 4, leaving: false, reachable: true },
     ...{ jobs: 0, loads: [], services: [], links: 0 },
-    ...told,
+    ...given,
   };
 }
--- a/test/support/RecordingTerminal.ts
+++ b/test/support/RecordingTerminal.ts
@@ -1,6 +1,6 @@
 import type Terminal from '../../src/core/Terminal';
 
-/** Keeps what a program prints, for a look at it afterwards. */
+/** Records the output of a program, so that a test can check it. */
 export default class RecordingTerminal implements Terminal {
   readonly lines: string[] = [];
 
