--- a/src/ctl/HttpOperatorClient.ts
+++ b/src/ctl/HttpOperatorClient.ts
@@ -24,12 +24,12 @@
   }
 
   private async send(method: 'GET' | 'POST', url: string): Promise<OperatorAnswer> {
-    const abort = new AbortController();
+    const controller = new AbortController();
     const timeout = this.timer.after(ANSWER_TIMEOUT_MS, () =>
-      abort.abort(new Error(`no answer within ${ANSWER_TIMEOUT_MS} ms`)),
+      controller.abort(new Error(`no answer within ${ANSWER_TIMEOUT_MS} ms`)),
     );
     try {
-      const { statusCode, body } = await request(url, { method, signal: abort.signal });
+      const { statusCode, body } = await request(url, { method, signal: controller.signal });
       return { status: statusCode, body: JSON.parse(await body.text()) };
     } finally {
       timeout.cancel();
--- a/src/ctl/explain.ts
+++ b/src/ctl/explain.ts
@@ -22,21 +22,21 @@
   const [id = '', ...files] = args;
   const lines = await readFiles(files, readLogFile, terminal);
   if (!lines) return exitCodes.badFile;
-  const relevant = findRequestLines(lines.flat(), id);
-  if (relevant.length === 0) {
+  const requestLines = findRequestLines(lines.flat(), id);
+  if (requestLines.length === 0) {
     terminal.warn(`no line in these files names the request ${id}`);
     return exitCodes.notFound;
   }
-  if (json) terminal.print(JSON.stringify({ request: id, lines: relevant }));
-  else relevant.forEach((line) => terminal.print(describe(line, relevant[0]!.timeMs)));
+  if (json) terminal.print(JSON.stringify({ request: id, lines: requestLines }));
+  else requestLines.forEach((line) => terminal.print(describe(line, requestLines[0]!.timeMs)));
   return exitCodes.ok;
 }
 
 function describe({ process, timeMs, level, message, fields }: LogLine, startMs: number): string {
-  const at = `${((timeMs - startMs) / SECOND_MS).toFixed(3)} s`.padStart(9);
+  const offset = `${((timeMs - startMs) / SECOND_MS).toFixed(3)} s`.padStart(9);
   const values = Object.entries(fields).map(([key, value]) => `${key}=${formatField(value)}`);
-  const mark = level === 'warn' || level === 'error' ? `${level}: ` : '';
-  return `${at}  ${process}  ${mark}${message}  ${values.join(' ')}`.trimEnd();
+  const levelPrefix = level === 'warn' || level === 'error' ? `${level}: ` : '';
+  return `${offset}  ${process}  ${levelPrefix}${message}  ${values.join(' ')}`.trimEnd();
 }
 
 function formatField(value: unknown): string {
--- a/src/ctl/rollback.ts
+++ b/src/ctl/rollback.ts
@@ -47,17 +47,17 @@
   const targets = await findTargets(input, context, ['store']);
   if (targets.isErr()) return err(targets.error);
   const store = ManifestStore.at(targets.value.store!, context);
-  const kept = await store.listVersions();
-  if (kept.isErr()) return err(kept.error);
-  const wanted = kept.value.find((stored) => stored.version === version);
+  const versions = await store.listVersions();
+  if (versions.isErr()) return err(versions.error);
+  const wanted = versions.value.find((stored) => stored.version === version);
   if (!wanted)
     return err(
       versionNotFound(
         version,
-        kept.value.map((stored) => stored.version),
+        versions.value.map((stored) => stored.version),
       ),
     );
-  const current = kept.value[0];
+  const current = versions.value[0];
   const manifest = withDefaults(wanted);
   return ok({
     store,
