--- a/src/callers/ByteBudget.ts
+++ b/src/callers/ByteBudget.ts
@@ -1,23 +1,23 @@
-/** A limited number of bytes, taken and given back. */
+/** A byte budget that several users share: bytes are reserved and released. */
 export default class ByteBudget {
-  private taken = 0;
+  private reservedBytes = 0;
 
-  private constructor(private readonly limit: number) {}
+  private constructor(private readonly limitBytes: number) {}
 
-  /** Creates a budget of which nothing is taken. */
-  static of(limit: number): ByteBudget {
-    return new ByteBudget(limit);
+  /** Creates a budget with nothing reserved. */
+  static create(limitBytes: number): ByteBudget {
+    return new ByteBudget(limitBytes);
   }
 
-  /** Takes some bytes if there are as many left, and says whether it did. */
-  take(bytes: number): boolean {
-    if (this.taken + bytes > this.limit) return false;
-    this.taken += bytes;
+  /** Reserves some bytes if that many are left; returns whether it did. */
+  tryReserve(bytes: number): boolean {
+    if (this.reservedBytes + bytes > this.limitBytes) return false;
+    this.reservedBytes += bytes;
     return true;
   }
 
-  /** Gives taken bytes back. */
-  give(bytes: number): void {
-    this.taken -= bytes;
+  /** Releases reserved bytes. */
+  release(bytes: number): void {
+    this.reservedBytes -= bytes;
   }
 }
--- a/src/callers/CallerServer.ts
+++ b/src/callers/CallerServer.ts
@@ -10,7 +10,7 @@
 import type CallerServerOptions from './CallerServerOptions';
 import type CallerSubmission from './CallerSubmission';
 import type TlsCredentials from '../link/TlsCredentials';
-import findBodyMistake from './findBodyMistake';
+import checkBodyHeaders from './checkBodyHeaders';
 import headerOf from './headerOf';
 import parseVersion from './parseVersion';
 import readBody from './readBody';
@@ -23,57 +23,59 @@
 import routes from './routes';
 
 /**
- * The callers' HTTP interface of an entry, as `docs/API.md` describes it. Sizes
- * and times of requests are limited by the settings, so that no caller can
- * hold memory or connections for long.
+ * The HTTP server of an entry for callers, as described in `docs/API.md`. The
+ * settings limit the size and duration of requests, so that no caller can
+ * occupy memory or connections for long.
  */
 export default class CallerServer {
   private readonly server: http.Server | https.Server;
 
-  /** The last response of each open connection; none before its first request. */
+  /** The latest response on each open connection; undefined before its first request. */
   private readonly responses = new Map<Duplex, http.ServerResponse | undefined>();
 
-  /** Connections that carried a request before the one ahead of it was answered. */
+  /** Connections on which a request arrived before the previous one was answered. */
   private readonly pipelined = new WeakSet<Duplex>();
 
-  /** Memory for the bodies of all requests under way. */
-  private readonly bodies: ByteBudget;
+  /** Memory budget for the bodies of all requests in progress. */
+  private readonly bodyBudget: ByteBudget;
 
-  /** Ends the wait of each caller whose submission is under way. */
-  private readonly waits = new Set<() => void>();
+  /** For each submission in progress, a callback that ends its wait early. */
+  private readonly pendingWaits = new Set<() => void>();
 
   private closing = false;
 
   private constructor(private readonly options: CallerServerOptions) {
     const { limits, tls } = options;
-    this.bodies = ByteBudget.of(limits.openBodyBytes);
+    this.bodyBudget = ByteBudget.create(limits.openBodyBytes);
     this.server = createServer(tls, {
       maxHeaderSize: limits.headerBytes,
       headersTimeout: limits.headerTimeoutMs,
       requestTimeout: limits.bodyTimeoutMs,
       keepAliveTimeout: KEEP_ALIVE_MS,
-      connectionsCheckingInterval: CHECK_INTERVAL_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
       noDelay: true,
     });
     this.server.maxConnections = limits.connections;
     this.server.on(tls ? 'secureConnection' : 'connection', (socket: Duplex) =>
-      this.connected(socket),
+      this.handleConnection(socket),
     );
     this.server.on('request', (req: http.IncomingMessage, res: http.ServerResponse) =>
-      this.serve(req, res),
+      this.handleRequest(req, res),
     );
     this.server.on('checkContinue', (req: http.IncomingMessage, res: http.ServerResponse) =>
-      this.serve(req, res),
+      this.handleRequest(req, res),
+    );
+    this.server.on('clientError', (error: Error, socket: Duplex) =>
+      this.handleClientError(error, socket),
     );
-    this.server.on('clientError', (error: Error, socket: Duplex) => this.unreadable(error, socket));
   }
 
-  /** Creates the server without listening. */
+  /** Creates the server; `listen` opens it. */
   static create(options: CallerServerOptions): CallerServer {
     return new CallerServer(options);
   }
 
-  /** Listens at "ip:port" and returns the address in use. */
+  /** Listens on "ip:port" and returns the bound address. */
   listen(address: string): ResultAsync<string, Error> {
     const [host, port] = address.split(':');
     const listening = openServer(this.server, { host, port: Number(port) }, this.options.failed);
@@ -84,191 +86,199 @@
   }
 
   /**
-   * Stops accepting; resolves once all answers under way are out. A caller
-   * that still waits when the time is over is told so, which is an answer too.
-   * An idle connection is not cut, since a request may be on its way on it: it
-   * ends with its next answer or after the keep-alive time that callers know.
+   * Stops accepting connections; resolves once all pending responses have been
+   * sent. Callers that still wait after `drainMs` get a response that says so.
+   * Idle connections are not closed at once, since a request may be in transit:
+   * they close with their next response or after the keep-alive time that callers know.
    */
   async close(drainMs: number): Promise<void> {
     const { timer, limits } = this.options;
     this.closing = true;
     const closed = new Promise<void>((resolve) => {
-      // The method of http.Server would cut the idle connections.
+      // http.Server.close would also close idle connections at once.
       net.Server.prototype.close.call(this.server, () => resolve());
     });
-    const silent = timer.after(Math.min(limits.headerTimeoutMs, drainMs), () => this.dropSilent());
-    const over = timer.after(drainMs, () => this.endWaits());
+    const idleTimer = timer.after(Math.min(limits.headerTimeoutMs, drainMs), () =>
+      this.closeIdleConnections(),
+    );
+    const drainTimer = timer.after(drainMs, () => this.endWaits());
     await closed;
-    silent.cancel();
-    over.cancel();
+    idleTimer.cancel();
+    drainTimer.cancel();
   }
 
-  private connected(socket: Duplex): void {
+  private handleConnection(socket: Duplex): void {
     this.responses.set(socket, undefined);
     socket.on('close', () => this.responses.delete(socket));
   }
 
-  private serve(req: http.IncomingMessage, res: http.ServerResponse): void {
-    const ahead = this.responses.get(req.socket);
-    if (ahead && !ahead.writableFinished) this.pipelined.add(req.socket);
+  private handleRequest(req: http.IncomingMessage, res: http.ServerResponse): void {
+    const previous = this.responses.get(req.socket);
+    if (previous && !previous.writableFinished) this.pipelined.add(req.socket);
     this.responses.set(req.socket, res);
-    this.answer(req, res).catch((error) => this.fail(res, error));
+    this.parseAndRespond(req, res).catch((error) => this.respondInternalError(res, error));
   }
 
-  /** Answers a request on which a fault of this process showed; the others go on. */
-  private fail(res: http.ServerResponse, error: unknown): void {
+  /** Responds to a request that failed with an internal error; other requests continue. */
+  private respondInternalError(res: http.ServerResponse, error: unknown): void {
     this.options.failed(error);
     if (res.headersSent) res.destroy();
-    else this.refuse(res, refusal(Outcome.UNKNOWN, FAULT.reason));
+    else this.refuse(res, refusal(Outcome.UNKNOWN, INTERNAL_ERROR_ANSWER.reason));
   }
 
-  private async answer(req: http.IncomingMessage, res: http.ServerResponse): Promise<void> {
-    const gone = new AbortController();
-    res.on('close', () => gone.abort());
-    const parsed = await this.parse(req, res, gone.signal);
-    const answer = parsed.isOk() ? await this.submit(parsed.value, gone.signal) : undefined;
-    if (gone.signal.aborted || !req.socket.writable) return;
+  private async parseAndRespond(
+    req: http.IncomingMessage,
+    res: http.ServerResponse,
+  ): Promise<void> {
+    const callerGone = new AbortController();
+    res.on('close', () => callerGone.abort());
+    const parsed = await this.parse(req, res, callerGone.signal);
+    const answer = parsed.isOk() ? await this.submit(parsed.value, callerGone.signal) : undefined;
+    if (callerGone.signal.aborted || !req.socket.writable) return;
     res.setHeader('Magnoliakeel-Configuration', String(this.options.version()));
     if (this.closing || this.options.isLeaving()) res.setHeader('Connection', 'close');
     req.socket.setTimeout(this.options.limits.bodyTimeoutMs);
     if (parsed.isErr()) this.refuse(res, parsed.error);
-    else respond(res, parsed.value.submission, this.spread(answer!));
+    else respond(res, parsed.value.submission, this.withRetryJitter(answer!));
   }
 
-  /** The answer of the entry; the wait ends early when the caller goes or the server closes. */
-  private submit(submission: CallerSubmission, gone: AbortSignal): Promise<Answer> {
+  /** The entry's answer; the wait ends early if the caller disconnects or the server's drain time is over. */
+  private submit(submission: CallerSubmission, callerGone: AbortSignal): Promise<Answer> {
     return new Promise((resolve) => {
-      const end = () => resolve(CUT_SHORT);
-      this.waits.add(end);
-      gone.addEventListener('abort', end, { once: true });
+      const end = () => resolve(SHUTDOWN_ANSWER);
+      this.pendingWaits.add(end);
+      callerGone.addEventListener('abort', end, { once: true });
       this.options
-        .submit(submission, gone)
+        .submit(submission, callerGone)
         .catch((error) => {
           this.options.failed(error);
-          return FAULT;
+          return INTERNAL_ERROR_ANSWER;
         })
         .then(resolve)
-        .finally(() => this.waits.delete(end));
+        .finally(() => this.pendingWaits.delete(end));
     });
   }
 
   private async parse(
     req: http.IncomingMessage,
     res: http.ServerResponse,
-    gone: AbortSignal,
+    callerGone: AbortSignal,
   ): Promise<Result<CallerSubmission, RequestError>> {
     const url = parseUrl(req.url);
     if (url.isErr()) return err(url.error);
     const route = findRoute(req.method, url.value.pathname);
     if (route.isErr()) return err(route.error);
-    const mistake = findBodyMistake(req, this.options.limits.bodyBytes);
-    if (mistake) return err(mistake);
+    const bodyError = checkBodyHeaders(req, this.options.limits.bodyBytes);
+    if (bodyError) return err(bodyError);
     if (expectsContinue(req)) res.writeContinue();
-    const body = await this.readBody(req, gone);
+    const body = await this.readBody(req, callerGone);
     if (body.isErr()) return err(body.error);
     const version = parseVersion(req.headers);
     if (version.isErr()) return err(version.error);
-    if (!(await this.options.reached(version.value))) return err(unprepared(req, BEHIND));
+    if (!(await this.options.reached(version.value)))
+      return err(notReadyRefusal(req, OLDER_CONFIGURATION_REASON));
     const manifest = this.options.manifest();
-    if (!manifest) return err(unprepared(req, 'no configuration is in force yet'));
-    const names = namesIn(route.value, url.value.pathname);
-    if (names.isErr()) return err(names.error);
-    const caller = {
+    if (!manifest) return err(notReadyRefusal(req, 'no configuration is in force yet'));
+    const pathParameters = pathParametersOf(route.value, url.value.pathname);
+    if (pathParameters.isErr()) return err(pathParameters.error);
+    const callerRequest = {
       headers: req.headers,
-      names: names.value,
+      pathParameters: pathParameters.value,
       query: url.value.searchParams,
       body: body.value,
     };
-    return route.value.parse(caller, manifest, this.options.timer.wall());
+    return route.value.parse(callerRequest, manifest, this.options.timer.wall());
   }
 
-  /** Reads the body; its memory is free again when the request is over. */
+  /** Reads the body; its bytes of the budget are released when the response closes. */
   private async readBody(
     req: http.IncomingMessage,
-    gone: AbortSignal,
+    callerGone: AbortSignal,
   ): Promise<Result<Buffer, RequestError>> {
-    const whenFull = unprepared(req, 'the memory for requests is full');
+    const budgetExceeded = notReadyRefusal(req, 'the memory for requests is full');
     const { bodyBytes } = this.options.limits;
-    const body = await readBody(req, bodyBytes, this.bodies, whenFull);
+    const body = await readBody(req, bodyBytes, this.bodyBudget, budgetExceeded);
     if (body.isErr()) return body;
-    const free = () => this.bodies.give(body.value.length);
-    if (gone.aborted) free();
-    else gone.addEventListener('abort', free, { once: true });
+    const release = () => this.bodyBudget.release(body.value.length);
+    if (callerGone.aborted) release();
+    else callerGone.addEventListener('abort', release, { once: true });
     return body;
   }
 
   private refuse(res: http.ServerResponse, error: RequestError): void {
-    // A body that was never asked for does not come; the next request can't be told from it.
+    // The client need not send a body that it was not told to send: a next request would be read as that body.
     if (expectsContinue(res.req) && !res.req.complete) res.setHeader('Connection', 'close');
     const { random } = this.options;
-    const isPassing = error.outcome !== undefined;
-    const retryAfterMs = isPassing ? Math.ceil(random.jitter(RETRY_AFTER_MS)) : 0;
+    const isTemporary = error.outcome !== undefined;
+    const retryAfterMs = isTemporary ? Math.ceil(random.jitter(MEAN_RETRY_AFTER_MS)) : 0;
     respondError(res, error, retryAfterMs);
   }
 
-  /** The answer with a time to come back that differs from caller to caller. */
-  private spread(answer: Answer): Answer {
+  /** The answer with jitter on its retry delay, so that callers do not retry all at once. */
+  private withRetryJitter(answer: Answer): Answer {
     const retryAfterMs = Math.ceil(this.options.random.jitter(answer.retryAfterMs));
     return { ...answer, retryAfterMs };
   }
 
-  /** Refuses what Node can't read as a request, unless that would pass for another answer. */
-  private unreadable(error: NodeJS.ErrnoException, socket: Duplex): void {
+  /** Refuses input that Node can't parse, unless the refusal could pass for the response to another request. */
+  private handleClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
     const res = this.responses.get(socket);
-    const isBetween = !res || (res.writableFinished && res.req.complete);
-    const isReading = !res?.headersSent && !res?.req.complete && !this.pipelined.has(socket);
-    if (isBetween || isReading) refuseConnection(socket, error.code ?? '', this.options.timer);
+    const isBetweenRequests = !res || (res.writableFinished && res.req.complete);
+    const isReadingRequest = !res?.headersSent && !res?.req.complete && !this.pipelined.has(socket);
+    if (isBetweenRequests || isReadingRequest)
+      refuseConnection(socket, error.code ?? '', this.options.timer);
     else socket.destroy();
   }
 
-  /** Ends connections that no request has come on; the time for one is over. */
-  private dropSilent(): void {
+  /** Closes connections without a request in progress once the time to send one is over. */
+  private closeIdleConnections(): void {
     this.responses.forEach((res, socket) => {
       if (!res || res.writableFinished) socket.destroy();
     });
   }
 
   private endWaits(): void {
-    [...this.waits].forEach((end) => end());
+    [...this.pendingWaits].forEach((end) => end());
     this.responses.forEach((res, socket) => {
       if (!res?.req.complete) socket.destroy();
     });
   }
 }
 
-/** A server with the limits; with credentials it follows their changes. */
+/** Creates the server with the limits; with TLS credentials it follows their changes. */
 function createServer(tls: TlsCredentials | undefined, limits: http.ServerOptions) {
   if (!tls) return http.createServer(limits);
   const { cert, key } = tls.current;
   const server = https.createServer({ ...limits, cert, key });
-  tls.subscribe((changed) => server.setSecureContext({ cert: changed.cert, key: changed.key }));
+  tls.subscribe((renewed) => server.setSecureContext({ cert: renewed.cert, key: renewed.key }));
   return server;
 }
 
-/** How often Node looks for requests that take too long. */
-const CHECK_INTERVAL_MS = 500;
+/** How often Node checks for timed-out requests, ms. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
-/** Longer than balancers keep an idle connection, so that the balancer is the one to close it. */
+/** Longer than load balancers keep an idle connection, ms, so that the balancer is the one to close it. */
 const KEEP_ALIVE_MS = 75_000;
 
-/** Middle of the time after which a caller refused for want of a configuration may come back. */
-const RETRY_AFTER_MS = 2000;
+/** Mean retry delay, ms, of a caller that is refused for a temporary reason, such as a missing configuration. */
+const MEAN_RETRY_AFTER_MS = 2000;
 
-/** Makes a request's path a whole URL; only the path and the query are read. */
+/** Base for parsing a request target as a URL; only the path and the query are used. */
 const BASE_URL = 'http://entry';
 
-const BEHIND = 'the configuration that the caller has met before is not in force here yet';
+const OLDER_CONFIGURATION_REASON =
+  'the configuration that the caller has met before is not in force here yet';
 
-const CUT_SHORT = create(AnswerSchema, {
+const SHUTDOWN_ANSWER = create(AnswerSchema, {
   outcome: Outcome.UNKNOWN,
   reason: 'this entry leaves before the answer is there; it may have run',
-  retryAfterMs: RETRY_AFTER_MS,
+  retryAfterMs: MEAN_RETRY_AFTER_MS,
 });
 
-const FAULT = create(AnswerSchema, {
+const INTERNAL_ERROR_ANSWER = create(AnswerSchema, {
   outcome: Outcome.UNKNOWN,
   reason: 'an internal error of the entry; it may have run',
-  retryAfterMs: RETRY_AFTER_MS,
+  retryAfterMs: MEAN_RETRY_AFTER_MS,
 });
 
 function expectsContinue({ headers }: http.IncomingMessage): boolean {
@@ -283,8 +293,11 @@
   }
 }
 
-/** What has an id may have been run for an earlier submission; only what has none is known not to have run. */
-function unprepared({ method, headers }: http.IncomingMessage, reason: string): RequestError {
+/**
+ * A refusal while the entry is not ready. A request with an id may have run for an earlier submission; only one
+ * without an id is known not to have run.
+ */
+function notReadyRefusal({ method, headers }: http.IncomingMessage, reason: string): RequestError {
   const isNew = method === 'POST' && headerOf(headers, 'idempotency-key') === undefined;
   const outcome = isNew ? Outcome.NOT_RUN : Outcome.UNKNOWN;
   return refusal(outcome, reason);
@@ -303,7 +316,7 @@
   });
 }
 
-function namesIn(route: Route, path: string): Result<string[], RequestError> {
+function pathParametersOf(route: Route, path: string): Result<string[], RequestError> {
   const encoded = route.path.exec(path)!.slice(1);
   try {
     return ok(encoded.map(decodeURIComponent));
--- a/src/callers/CallerServerOptions.ts
+++ b/src/callers/CallerServerOptions.ts
@@ -6,23 +6,23 @@
 import type Manifest from '../settings/Manifest';
 import type CallerSubmission from './CallerSubmission';
 
-/** What the callers' interface needs from the entry around it. */
+/** What the caller server needs from its entry. */
 export default interface CallerServerOptions {
   readonly limits: EntrySettings['limits'];
-  /** The certificate shown to callers; without it they are served in plain text. */
+  /** Server credentials for TLS; without them callers are served over plain HTTP. */
   readonly tls?: TlsCredentials;
   readonly timer: TimerService;
-  /** Spreads the times at which refused callers come back. */
+  /** Source of jitter for the retry delays of refused callers. */
   readonly random: Random;
-  /** The manifest in force; undefined before the first. */
+  /** The active manifest; undefined before the first. */
   readonly manifest: () => Manifest | undefined;
-  /** Version of that manifest; 0 before the first. */
+  /** Version of the active manifest; 0 before the first. */
   readonly version: () => bigint;
-  /** Waits a little for a version or a newer one; says whether it is in force. */
+  /** Waits a short time for this version or a newer one; resolves to whether it is active. */
   readonly reached: (version: bigint) => Promise<boolean>;
   readonly isLeaving: () => boolean;
-  /** The answer to a submission; the signal tells that nobody waits for it any more. */
-  readonly submit: (submission: CallerSubmission, gone: AbortSignal) => Promise<Answer>;
-  /** Told of an error that is a fault of this program. */
+  /** Submits and resolves to the answer; the signal aborts when the caller no longer waits. */
+  readonly submit: (submission: CallerSubmission, callerGone: AbortSignal) => Promise<Answer>;
+  /** Called with each error that is a fault of this program. */
   readonly failed: (error: unknown) => void;
 }
--- a/src/callers/CommonFields.ts
+++ b/src/callers/CommonFields.ts
@@ -1,9 +1,9 @@
-/** What every request of a caller says or leaves to defaults. */
+/** Fields that every caller's request has, with defaults filled in. */
 export default interface CommonFields {
   readonly team: string;
-  /** Milliseconds until the caller's deadline; 0 when it gave none. */
+  /** Milliseconds until the caller's deadline; 0 if it gave none. */
   readonly deadlineMs: number;
-  /** How long the caller waits for the answer, at most as long as a job may take. */
+  /** How long the caller waits for the answer, ms, at most the service's job timeout. */
   readonly waitMs: number;
   readonly traceparent: string;
 }
--- a/src/callers/OutcomeRow.ts
+++ b/src/callers/OutcomeRow.ts
@@ -1,4 +1,4 @@
-/** An outcome's HTTP status and its name in bodies and in the header `Magnoliakeel-Outcome`. */
+/** HTTP status of an outcome, and its name in bodies and in the header `Magnoliakeel-Outcome`. */
 export default interface OutcomeRow {
   readonly status: number;
   readonly name: string;
--- a/src/callers/RequestError.ts
+++ b/src/callers/RequestError.ts
@@ -1,14 +1,14 @@
 import type RequestFinding from './RequestFinding';
 
-/** Why a caller's request was not accepted, with its HTTP status. */
+/** The refusal of a caller's request, with its HTTP status. */
 export default interface RequestError {
   readonly status: number;
-  /** Name of the outcome; `invalid` when the mistake is the request's own. */
+  /** Name of the outcome; by default `invalid`, for errors in the request itself. */
   readonly outcome?: string;
-  /** What was found and what was expected, with its place. */
+  /** Where the error is, what was found and what was expected. */
   readonly reason: string;
-  /** The mistakes one by one, up to a limit, where there is more to say than the reason. */
+  /** The individual errors, up to a limit, if the reason does not cover them all. */
   readonly findings?: readonly RequestFinding[];
-  /** The methods that the path allows, where the method was the mistake. */
+  /** Value of the `Allow` header, if the method is not allowed. */
   readonly allow?: string;
 }
--- a/src/callers/RequestFindings.ts
+++ b/src/callers/RequestFindings.ts
@@ -1,9 +1,9 @@
 import type RequestError from './RequestError';
 import type RequestFinding from './RequestFinding';
 
-/** Collects the mistakes of one request, so that its caller hears of them together. */
+/** Collects the errors of one request, so that one refusal reports them all. */
 export default class RequestFindings {
-  private readonly kept: RequestFinding[] = [];
+  private readonly listed: RequestFinding[] = [];
 
   private count = 0;
 
@@ -14,27 +14,27 @@
     return new RequestFindings();
   }
 
-  /** Whether nothing wrong was found. */
+  /** Whether no error was found. */
   get isEmpty(): boolean {
     return this.count === 0;
   }
 
-  /** Adds a mistake; beyond a limit it is only counted. */
+  /** Adds an error; beyond a limit they are only counted. */
   add(place: string, reason: string): void {
     this.count += 1;
-    if (this.kept.length < MAX_KEPT) this.kept.push({ place, reason });
+    if (this.listed.length < MAX_LISTED) this.listed.push({ place, reason });
   }
 
-  /** The refusal that names them all. */
+  /** The refusal with all errors. */
   toError(): RequestError {
-    const [first] = this.kept;
+    const [first] = this.listed;
     const more = this.count > 1 ? ` (and ${this.count - 1} more)` : '';
     const reason = `${first!.place}: ${first!.reason}${more}`;
-    return { status: BAD_REQUEST, reason, findings: this.kept };
+    return { status: BAD_REQUEST, reason, findings: this.listed };
   }
 }
 
 const BAD_REQUEST = 400;
 
-/** Most mistakes that one refusal names. */
-const MAX_KEPT = 20;
+/** Maximum number of errors listed in one refusal. */
+const MAX_LISTED = 20;
--- a/src/callers/Route.ts
+++ b/src/callers/Route.ts
@@ -4,11 +4,11 @@
 import type CallerSubmission from './CallerSubmission';
 import type RequestError from './RequestError';
 
-/** One route of the callers' interface. */
+/** A route of the HTTP interface for callers. */
 export default interface Route {
   readonly method: string;
   readonly path: RegExp;
-  /** Makes a submission of the request, or says what is wrong with it. */
+  /** Parses the request into a submission, or returns the reason to refuse it. */
   readonly parse: (
     req: CallerRequest,
     manifest: Manifest,
--- a/src/callers/findBodyMistake.ts
+++ b/src/callers/checkBodyHeaders.ts
@@ -1,8 +1,8 @@
 import type { IncomingMessage } from 'node:http';
 import type RequestError from './RequestError';
 
-/** What the headers already tell against a request's body, before any of it is read. */
-export default function findBodyMistake(
+/** Checks the headers about a request's body before it is read; undefined if they are acceptable. */
+export default function checkBodyHeaders(
   { headers }: IncomingMessage,
   limitBytes: number,
 ): RequestError | undefined {
--- a/src/callers/digestOf.ts
+++ b/src/callers/digestOf.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 
-/** A digest of a submission's inputs, by which a resubmission with another body is told. */
+/** Digest of a submission's inputs, which shows when an id is resubmitted with a different body. */
 export default function digestOf(inputs: readonly Uint8Array[]): string {
   const hash = createHash('sha256');
   inputs.forEach((input) => {
--- a/src/callers/errorBody.ts
+++ b/src/callers/errorBody.ts
@@ -1,11 +1,11 @@
 import type RequestError from './RequestError';
-import type ResponseBody from './ResponseBody';
+import type CallerResponse from './CallerResponse';
 
-/** The outcome and the JSON body of a refusal. */
+/** Outcome name and JSON body of a refusal. */
 export default function errorBody(
   { outcome = 'invalid', reason, findings }: RequestError,
   retryAfterMs: number,
-): Pick<ResponseBody, 'outcome' | 'body'> {
+): Pick<CallerResponse, 'outcome' | 'body'> {
   const retry = retryAfterMs > 0 ? { retryAfterMs } : {};
   const body = Buffer.from(JSON.stringify({ outcome, reason, findings, ...retry }));
   return { outcome, body };
--- a/src/callers/findService.ts
+++ b/src/callers/findService.ts
@@ -4,12 +4,12 @@
 import type CallerRequest from './CallerRequest';
 import type RequestError from './RequestError';
 
-/** The service that a request's path names. */
+/** Looks up the service named in a request's path. */
 export default function findService(
-  { names }: CallerRequest,
+  { pathParameters }: CallerRequest,
   { services }: Manifest,
 ): Result<ServiceConfig, RequestError> {
-  const service = services.find(({ name }) => name === names[0]);
+  const service = services.find(({ name }) => name === pathParameters[0]);
   if (service) return ok(service);
-  return err({ status: 404, reason: `service: there is no service "${names[0]}"` });
+  return err({ status: 404, reason: `service: there is no service "${pathParameters[0]}"` });
 }
--- a/src/callers/outcomeTable.ts
+++ b/src/callers/outcomeTable.ts
@@ -2,9 +2,9 @@
 import type OutcomeRow from './OutcomeRow';
 
 /**
- * How each outcome appears to callers. This table is the only place that knows.
- * Of the statuses that balancers re-send by themselves, only 503 occurs, and
- * only for what was not run (`docs/design/callers.md`).
+ * HTTP status and name of each outcome, defined only here. Load balancers retry
+ * some statuses on their own: of these only 503 is used, and only for requests
+ * that have not run (`docs/design/callers.md`).
  */
 const outcomeTable: Record<Outcome, OutcomeRow> = {
   [Outcome.UNSPECIFIED]: { status: 424, name: 'unknown' },
--- a/src/callers/parseCommon.ts
+++ b/src/callers/parseCommon.ts
@@ -5,7 +5,7 @@
 import headerOf from './headerOf';
 import type RequestFindings from './RequestFindings';
 
-/** Reads what all requests have in common: team, deadline, wait and trace. */
+/** Parses the fields that all requests have: team, deadline, wait and trace context. */
 export default function parseCommon(
   req: CallerRequest,
   manifest: Manifest,
@@ -34,11 +34,11 @@
   return team;
 }
 
-function parseMs(place: string, text: string | undefined, findings: RequestFindings): number {
+function parseMs(location: string, text: string | undefined, findings: RequestFindings): number {
   if (text === undefined) return 0;
   const value = Number(text);
   if (/^\d+$/.test(text) && value <= MAX_MS) return value;
-  findings.add(place, `found "${text}", expected milliseconds from 0 to ${MAX_MS}`);
+  findings.add(location, `found "${text}", expected milliseconds from 0 to ${MAX_MS}`);
   return 0;
 }
 
--- a/src/callers/parseJob.ts
+++ b/src/callers/parseJob.ts
@@ -12,14 +12,14 @@
 import type RequestError from './RequestError';
 import RequestFindings from './RequestFindings';
 
-/** Reads the submission of a job: `PUT /v1/services/{service}/jobs/{jobId}`. */
+/** Parses the submission of a job: `PUT /v1/services/{service}/jobs/{jobId}`. */
 export default function parseJob(
   req: CallerRequest,
   manifest: Manifest,
 ): Result<CallerSubmission, RequestError> {
   const service = findService(req, manifest);
   if (service.isErr()) return err(service.error);
-  const id = req.names[1]!;
+  const id = req.pathParameters[1]!;
   const findings = RequestFindings.create();
   const common = parseCommon(req, manifest, service.value, findings);
   const createdMs = parseCreated('id', id, req.headers, findings);
--- a/src/callers/parseJobQuery.ts
+++ b/src/callers/parseJobQuery.ts
@@ -7,12 +7,12 @@
 import RequestFindings from './RequestFindings';
 import type Route from './Route';
 
-/** Makes the parser of requests that ask about a job by its id or cancel it. */
+/** Creates the parser for requests that look up or cancel a job by its id. */
 export default function parseJobQuery(action: Action): Route['parse'] {
   return (req, manifest) => {
     const service = findService(req, manifest);
     if (service.isErr()) return err(service.error);
-    const id = req.names[1]!;
+    const id = req.pathParameters[1]!;
     const findings = RequestFindings.create();
     const { waitMs, traceparent } = parseCommon(req, manifest, service.value, findings);
     const createdMs = parseCreated('id', id, req.headers, findings);
--- a/src/callers/parseJson.ts
+++ b/src/callers/parseJson.ts
@@ -1,6 +1,6 @@
 import { err, ok, type Result } from 'neverthrow';
 
-/** Reads a body as JSON. The error says what is wrong and at which line and column. */
+/** Parses a body as JSON. The error gives the reason and, if known, the line and column. */
 export default function parseJson(body: Buffer): Result<unknown, string> {
   let text: string;
   try {
@@ -12,38 +12,42 @@
     return ok(JSON.parse(text));
   } catch (error) {
     const { message } = error as Error;
-    const at = positionIn(text, message);
+    const at = offsetFromMessage(text, message);
     return err(
-      `${at === undefined ? '' : `${placeOf(text, at)}: `}not well-formed JSON: ${message}`,
+      `${at === undefined ? '' : `${lineAndColumnOf(text, at)}: `}not well-formed JSON: ${message}`,
     );
   }
 }
 
-/** The offset that the parser's message gives, in figures or by the text around it. */
-function positionIn(text: string, message: string): number | undefined {
+/** Offset of the error, which the parser's message states as a number or by quoting the text around it. */
+function offsetFromMessage(text: string, message: string): number | undefined {
   const stated = / at position (\d+)/.exec(message);
   if (stated) return Number(stated[1]);
   if (message.startsWith('Unexpected end')) return text.length;
   const quoted =
     /^Unexpected token '(.+)', (?:\.\.\.)?"([^]*)"(?:\.\.\.)? is not valid JSON$/u.exec(message);
   if (!quoted) return undefined;
-  const [, token, around] = quoted;
-  const start = text.indexOf(around!);
-  const isOnlyPlace = start >= 0 && text.indexOf(around!, start + 1) < 0;
-  const within = tokenIn(around!, token!, message.includes('..."'));
-  return isOnlyPlace && within !== undefined ? start + within : undefined;
+  const [, token, excerpt] = quoted;
+  const start = text.indexOf(excerpt!);
+  const isUnique = start >= 0 && text.indexOf(excerpt!, start + 1) < 0;
+  const offsetInExcerpt = tokenOffset(excerpt!, token!, message.includes('..."'));
+  return isUnique && offsetInExcerpt !== undefined ? start + offsetInExcerpt : undefined;
 }
 
-/** The parser quotes ten characters before the token, fewer only at the start of the text. */
-function tokenIn(around: string, token: string, isCutBefore: boolean): number | undefined {
-  if (isCutBefore) return CONTEXT;
-  const at = around.indexOf(token);
-  return around.indexOf(token, at + 1) < 0 ? at : undefined;
+/** Offset in the excerpt: the parser quotes ten characters before the token, fewer only at the start of the text. */
+function tokenOffset(
+  excerpt: string,
+  token: string,
+  isTruncatedBefore: boolean,
+): number | undefined {
+  if (isTruncatedBefore) return QUOTED_CHARS_BEFORE_TOKEN;
+  const at = excerpt.indexOf(token);
+  return excerpt.indexOf(token, at + 1) < 0 ? at : undefined;
 }
 
-const CONTEXT = 10;
+const QUOTED_CHARS_BEFORE_TOKEN = 10;
 
-function placeOf(text: string, at: number): string {
+function lineAndColumnOf(text: string, at: number): string {
   const before = text.slice(0, at).split('\n');
   return `line ${before.length}, column ${before.at(-1)!.length + 1}`;
 }
--- a/src/callers/parseSingleRequest.ts
+++ b/src/callers/parseSingleRequest.ts
@@ -13,7 +13,7 @@
 import type RequestError from './RequestError';
 import RequestFindings from './RequestFindings';
 
-/** Reads a single request: `POST /v1/services/{service}/requests`. */
+/** Parses a single request: `POST /v1/services/{service}/requests`. */
 export default function parseSingleRequest(
   req: CallerRequest,
   manifest: Manifest,
@@ -54,9 +54,9 @@
   fallback: boolean,
   findings: RequestFindings,
 ): boolean {
-  const mark = headerOf(req.headers, 'magnoliakeel-idempotent');
-  if (mark === undefined) return fallback;
-  if (mark === 'true' || mark === 'false') return mark === 'true';
-  findings.add('header Magnoliakeel-Idempotent', `found "${mark}", expected true or false`);
+  const value = headerOf(req.headers, 'magnoliakeel-idempotent');
+  if (value === undefined) return fallback;
+  if (value === 'true' || value === 'false') return value === 'true';
+  findings.add('header Magnoliakeel-Idempotent', `found "${value}", expected true or false`);
   return false;
 }
--- a/src/callers/parseTasks.ts
+++ b/src/callers/parseTasks.ts
@@ -2,7 +2,7 @@
 import parseJson from './parseJson';
 import type RequestFindings from './RequestFindings';
 
-/** Reads a job's body, `{"tasks": [{"input": ...}, ...]}`, into the tasks' inputs as JSON text. */
+/** Parses a job's body, `{"tasks": [{"input": ...}, ...]}`, into the inputs of its tasks as JSON text. */
 export default function parseTasks(
   body: Buffer,
   service: ServiceConfig,
@@ -14,15 +14,15 @@
     return [];
   }
   if (!isObject(parsed.value)) {
-    findings.add('body', `found ${kindOf(parsed.value)}, expected an object with "tasks"`);
+    findings.add('body', `found ${describeType(parsed.value)}, expected an object with "tasks"`);
     return [];
   }
   const { tasks, ...others } = parsed.value;
   Object.keys(others).forEach((key) => {
-    findings.add(key.slice(0, MAX_NAME), 'found an unknown key, expected "tasks" alone');
+    findings.add(key.slice(0, MAX_KEY_CHARS), 'found an unknown key, expected "tasks" alone');
   });
   if (!Array.isArray(tasks)) {
-    findings.add('tasks', `found ${kindOf(tasks)}, expected a list`);
+    findings.add('tasks', `found ${describeType(tasks)}, expected a list`);
     return [];
   }
   if (tasks.length === 0 || tasks.length > service.maxTasks) {
@@ -34,29 +34,29 @@
 
 function parseTask(
   task: unknown,
-  place: string,
+  path: string,
   { maxTaskBytes }: ServiceConfig,
   findings: RequestFindings,
 ): Uint8Array {
   if (!isObject(task)) {
-    findings.add(place, `found ${kindOf(task)}, expected an object with "input"`);
-    return NOTHING;
+    findings.add(path, `found ${describeType(task)}, expected an object with "input"`);
+    return NO_INPUT;
   }
   if (task.input === undefined) {
-    findings.add(`${place}.input`, 'found nothing, expected any JSON value');
-    return NOTHING;
+    findings.add(`${path}.input`, 'found nothing, expected any JSON value');
+    return NO_INPUT;
   }
-  const input = textOf(task.input);
-  if (!input) findings.add(`${place}.input`, 'it is nested too deeply');
+  const input = toJsonText(task.input);
+  if (!input) findings.add(`${path}.input`, 'it is nested too deeply');
   else if (input.length > maxTaskBytes) {
     const reason = `found ${input.length} bytes, expected at most ${maxTaskBytes}`;
-    findings.add(`${place}.input`, reason);
+    findings.add(`${path}.input`, reason);
   }
-  return input ?? NOTHING;
+  return input ?? NO_INPUT;
 }
 
-/** The value as JSON text; undefined when it is nested too deeply to be written. */
-function textOf(value: unknown): Uint8Array | undefined {
+/** The value as JSON text; undefined if it is nested too deeply to serialize. */
+function toJsonText(value: unknown): Uint8Array | undefined {
   try {
     return Buffer.from(JSON.stringify(value));
   } catch {
@@ -64,14 +64,14 @@
   }
 }
 
-const NOTHING = new Uint8Array();
-const MAX_NAME = 64;
+const NO_INPUT = new Uint8Array();
+const MAX_KEY_CHARS = 64;
 
 function isObject(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function kindOf(value: unknown): string {
+function describeType(value: unknown): string {
   if (value === undefined) return 'nothing';
   if (value === null) return 'null';
   if (Array.isArray(value)) return 'a list';
--- a/src/callers/parseVersion.ts
+++ b/src/callers/parseVersion.ts
@@ -4,8 +4,8 @@
 import type RequestError from './RequestError';
 
 /**
- * Reads the configuration version that a caller has met before, from the header
- * that responses give it: it is not to meet an older one. 0 for none.
+ * Parses the configuration version that the caller got in an earlier response, so
+ * that it is not served under an older one. 0 if it sent none.
  */
 export default function parseVersion(headers: IncomingHttpHeaders): Result<bigint, RequestError> {
   const text = headerOf(headers, 'magnoliakeel-configuration');
--- a/src/callers/respondError.ts
+++ b/src/callers/respondError.ts
@@ -3,7 +3,7 @@
 import type RequestError from './RequestError';
 import sendBody from './sendBody';
 
-/** Refuses a request that is not acceptable as it stands; nothing of it was run. */
+/** Writes a refusal; nothing was run for this request. */
 export default function respondError(
   res: ServerResponse,
   error: RequestError,
--- a/src/callers/routes.ts
+++ b/src/callers/routes.ts
@@ -7,7 +7,7 @@
 const JOB_PATH = /^\/v1\/services\/([^/]+)\/jobs\/([^/]+)$/;
 const REQUEST_PATH = /^\/v1\/services\/([^/]+)\/requests$/;
 
-/** All routes of the callers' interface. */
+/** All routes of the HTTP interface for callers. */
 const routes: readonly Route[] = [
   { method: 'PUT', path: JOB_PATH, parse: parseJob },
   { method: 'GET', path: JOB_PATH, parse: parseJobQuery(Action.LOOKUP) },
