--- a/test/usersPlatform/CallerServer.test.ts
+++ b/test/usersPlatform/CallerServer.test.ts
@@ -20,7 +20,7 @@
 /** Answers of a caller server before an entry and two sidecars in memory, whose time is moved on. */
 async function ask(asks: readonly Ask[], prepare?: (server: CallerServer) => void) {
   const batchCase = await BatchCase.open({ entries: 1 });
-  const server = CallerServer.of(batchCase.entries[0]!, log);
+  const server = CallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
   prepare?.(server);
   const answers = [];
@@ -97,7 +97,7 @@
 
 test('a cancelled job is answered as cancelled, so that it is not sent again', async () => {
   const batchCase = await BatchCase.open({ entries: 1 });
-  const server = CallerServer.of(batchCase.entries[0]!, log);
+  const server = CallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
   const answer = send(server.port, { body: { ...job, spec: '5000' } });
   while (batchCase.running.length === 0) await batchCase.timer.advance(20);
@@ -111,7 +111,7 @@
 });
 
 test('a leaving entry ends connections with their answers', async () => {
-  const answers = await ask([{ body: job }], (server) => server.leave());
+  const answers = await ask([{ body: job }], (server) => server.startDraining());
   expect(answers).toEqual(['200 {"state":"completed"} close']);
 });
 
@@ -119,7 +119,7 @@
 async function answerBeforeConfiguration(afterMs: number, startedMsAgo = 0): Promise<string> {
   const batchCase = await BatchCase.open({ entries: 1, configured: false });
   await batchCase.timer.advance(startedMsAgo);
-  const server = CallerServer.of(batchCase.entries[0]!, log);
+  const server = CallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
   let answer: string | undefined;
   send(server.port, { body: job }).then((text) => {
@@ -157,7 +157,7 @@
     while (batchCase.running.length === 0) await batchCase.timer.advance(20);
     throw new Error('a fault');
   };
-  const server = CallerServer.of(Object.create(real, { submit: { value: submit } }), log);
+  const server = CallerServer.create(Object.create(real, { submit: { value: submit } }), log);
   await server.listen('127.0.0.1:0');
   const answer = await send(server.port, { body: { ...job, spec: '5000' } });
   await batchCase.timer.advance(500);
@@ -178,7 +178,7 @@
       message.startsWith('a caller is gone') &&
       notes.push({ ...fields, isTimed: Number(afterMs) > 0 }),
   };
-  const server = CallerServer.of(batchCase.entries[0]!, noting);
+  const server = CallerServer.create(batchCase.entries[0]!, noting);
   await server.listen('127.0.0.1:0');
   const body = JSON.stringify({ ...job, spec: '5000' });
   const head = `POST /q/${ID} HTTP/1.1\r\nhost: h\r\ncontent-length: ${body.length}\r\n\r\n`;
@@ -254,7 +254,7 @@
     return { kind: 'completed' };
   };
   const entry = Object.create(batchCase.entries[0]!, { submit: { value: submit } });
-  const server = CallerServer.of(entry, log);
+  const server = CallerServer.create(entry, log);
   await server.listen('127.0.0.1:0');
   await send(server.port, { body: job, waitMs: 1e11 });
   server.close();
--- a/test/usersPlatform/RunnerCalls.test.ts
+++ b/test/usersPlatform/HttpBackendRunClient.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import RunnerCalls from '../../platform/RunnerCalls';
+import HttpBackendRunClient from '../../platform/HttpBackendRunClient';
 import SystemTimer from '../../src/core/SystemTimer';
 import Resources from '../../src/room/Resources';
 import errorOf from '../support/errorOf';
@@ -16,8 +16,8 @@
   return { runner, calls: callsTo(runner.address) };
 }
 
-function callsTo(address: string): RunnerCalls {
-  return RunnerCalls.to(SystemTimer.create(), {
+function callsTo(address: string): HttpBackendRunClient {
+  return HttpBackendRunClient.create(SystemTimer.create(), {
     ...{ id: 'i-1', address, service: 's', labels: [], draining: false },
     ...{ capacity: Resources.none, clockMs: 0, sequence: 1 },
   });
--- a/test/usersPlatform/store.test.ts
+++ b/test/usersPlatform/HttpStore.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import StoreCalls from '../../platform/StoreCalls';
+import HttpStore from '../../platform/HttpStore';
 import Random from '../../src/core/Random';
 import SystemTimer from '../../src/core/SystemTimer';
 import PresenceKey from '../../src/membership/PresenceKey';
@@ -22,7 +22,7 @@
     if (values.length === wanted) stop.abort();
     if (value === 'bad') throw new Error('a fault');
   };
-  const calls = StoreCalls.to(timer, store.address);
+  const calls = HttpStore.create(timer, store.address);
   const parts = { timer, log, random: Random.fromSeed(1), store: calls, prefix: 'op/config' };
   await PrefixWatcher.of({ ...parts, onPut: put }).run(stop.signal);
   await store.close();
@@ -90,7 +90,7 @@
     if (path.includes('kv-keep')) return { status: 404 };
     return { status: 200, body: path.includes('kv-lease') ? { lease_id: paths.length } : {} };
   });
-  const calls = StoreCalls.to(timer, store.address);
+  const calls = HttpStore.create(timer, store.address);
   const key = PresenceKey.of({
     timer: {
       now: () => timer.now(),
--- a/test/usersPlatform/operatorKeys.test.ts
+++ b/test/usersPlatform/OperatorKeyReader.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import OperatorKeys from '../../platform/OperatorKeys';
-import StoreCalls from '../../platform/StoreCalls';
+import OperatorKeyReader from '../../platform/OperatorKeyReader';
+import HttpStore from '../../platform/HttpStore';
 import Random from '../../src/core/Random';
 import SystemTimer from '../../src/core/SystemTimer';
 import PrefixWatcher from '../../src/membership/PrefixWatcher';
@@ -23,16 +23,16 @@
     if (!next) stop.abort();
     return next ?? 'silence';
   });
-  const keys = OperatorKeys.of(log, {
-    configured: (table) => seen.push(`configuration ${table.version}`),
-    drained: ({ revision, zones }) => seen.push(`${revision}: ${zones.join()}`),
+  const keys = OperatorKeyReader.create(log, {
+    onConfiguration: (table) => seen.push(`configuration ${table.version}`),
+    onDrainedZones: ({ revision, zones }) => seen.push(`${revision}: ${zones.join()}`),
   });
-  const calls = StoreCalls.to(timer, store.address);
+  const calls = HttpStore.create(timer, store.address);
   await PrefixWatcher.of({
     ...{ timer, log, random: Random.fromSeed(1), store: calls, prefix: 'op/' },
-    onPut: (key, value) => keys.put(key, value),
-    onDelete: (key) => keys.removed(key),
-    onRevision: (revision) => keys.upTo(revision),
+    onPut: (key, value) => keys.handlePut(key, value),
+    onDelete: (key) => keys.handleDelete(key),
+    onRevision: (revision) => keys.handleRevision(revision),
   }).run(stop.signal);
   await store.close();
   return seen;
