--- a/test/callers/answers.test.ts
+++ b/test/callers/answers.test.ts
@@ -4,18 +4,18 @@
 import CallerCase from '../support/CallerCase';
 
 const REQUESTS = '/v1/services/booking/requests';
-const output = (text: string) => Buffer.from(text);
+const bufferOf = (text: string) => Buffer.from(text);
 
 test('each outcome has its status, name, headers and body', async () => {
-  const start = await CallerCase.start();
+  const callers = await CallerCase.start();
   const outcomes = Object.keys(outcomeTable).map(Number) as Outcome[];
-  const results = [{ index: 0, output: output('{"free":true}'), runMs: 40 }];
+  const results = [{ index: 0, output: bufferOf('{"free":true}'), runMs: 40 }];
   const sent: string[] = [];
   for (const outcome of outcomes) {
     const init = { outcome, size: 1, finished: 1, reason: 'why' };
     const isDone = outcome === Outcome.COMPLETED;
-    start.submit = async () => CallerCase.answer(isDone ? { ...init, results } : init);
-    sent.push(`${Outcome[outcome]}: ${await start.send()}`);
+    callers.submit = async () => CallerCase.answer(isDone ? { ...init, results } : init);
+    sent.push(`${Outcome[outcome]}: ${await callers.send()}`);
   }
   expect(sent.join('\n\n')).toMatchInlineSnapshot(`
     "UNSPECIFIED: 424 unknown
@@ -75,13 +75,13 @@
   `);
 });
 
-test('a time to come back goes out in whole seconds and in milliseconds, spread', async () => {
-  const start = await CallerCase.start();
+test('a retry delay is sent with jitter, in whole seconds and in milliseconds', async () => {
+  const callers = await CallerCase.start();
   const init = { outcome: Outcome.NOT_RUN, reason: 'the queue is full', retryAfterMs: 4000 };
-  start.submit = async () => CallerCase.answer(init);
-  const sent = await Promise.all([start.send(), start.send(), start.send()]);
-  const spread = sent.map((text) => text.match(/retry-after=\d+|"retryAfterMs":\d+/g)!.join(' '));
-  expect(spread).toMatchInlineSnapshot(`
+  callers.submit = async () => CallerCase.answer(init);
+  const sent = await Promise.all([callers.send(), callers.send(), callers.send()]);
+  const delays = sent.map((text) => text.match(/retry-after=\d+|"retryAfterMs":\d+/g)!.join(' '));
+  expect(delays).toMatchInlineSnapshot(`
     [
       "retry-after=6 "retryAfterMs":6000",
       "retry-after=6 "retryAfterMs":5251",
@@ -90,13 +90,17 @@
   `);
 });
 
-test('results go out in the order of their tasks, text that is no JSON as a string', async () => {
-  const start = await CallerCase.start();
-  const results = [2, 0, 1].map((index) => ({ index, runMs: index, output: output(`r${index}`) }));
-  results[1]!.output = output('{ "n": 0 }');
-  start.submit = async () =>
+test('results are sent in task order, and output that is not JSON as a string', async () => {
+  const callers = await CallerCase.start();
+  const results = [2, 0, 1].map((index) => ({
+    index,
+    runMs: index,
+    output: bufferOf(`r${index}`),
+  }));
+  results[1]!.output = bufferOf('{ "n": 0 }');
+  callers.submit = async () =>
     CallerCase.answer({ outcome: Outcome.COMPLETED, size: 3, finished: 3, results });
-  expect(await start.send()).toMatchInlineSnapshot(`
+  expect(await callers.send()).toMatchInlineSnapshot(`
     "200 completed
     content-length=222
     magnoliakeel-count=3
@@ -107,19 +111,19 @@
 test.each([
   ['lacks a result', [0, 2]],
   ['has a result twice', [0, 1, 1]],
-  ['has a result too many', [0, 1, 2, 3]],
-])('a completed answer that %s does not go out as completed', async (_what, indexes) => {
-  const start = await CallerCase.start();
-  const results = indexes.map((index) => ({ index, output: output('1') }));
-  start.submit = async () => CallerCase.answer({ outcome: Outcome.COMPLETED, size: 3, results });
-  expect((await start.send()).split('\n')[0]).toBe('424 unknown');
+  ['has one result too many', [0, 1, 2, 3]],
+])('a completed answer that %s is not sent as completed', async (_what, indexes) => {
+  const callers = await CallerCase.start();
+  const results = indexes.map((index) => ({ index, output: bufferOf('1') }));
+  callers.submit = async () => CallerCase.answer({ outcome: Outcome.COMPLETED, size: 3, results });
+  expect((await callers.send()).split('\n')[0]).toBe('424 unknown');
 });
 
-test('the answer to a single request is its output as it is', async () => {
-  const start = await CallerCase.start();
-  const results = [{ index: 0, output: output('{ "swap": 7 }') }];
-  start.submit = async () => CallerCase.answer({ outcome: Outcome.COMPLETED, size: 1, results });
-  expect(await start.send(REQUESTS, { method: 'POST', body: '{}' })).toMatchInlineSnapshot(`
+test('the response to a single request is its unchanged output', async () => {
+  const callers = await CallerCase.start();
+  const results = [{ index: 0, output: bufferOf('{ "swap": 7 }') }];
+  callers.submit = async () => CallerCase.answer({ outcome: Outcome.COMPLETED, size: 1, results });
+  expect(await callers.send(REQUESTS, { method: 'POST', body: '{}' })).toMatchInlineSnapshot(`
     "200 completed
     content-length=13
     magnoliakeel-count=1
@@ -127,8 +131,8 @@
   `);
 });
 
-test('a request reaches the entry with its key, mark, team and times', async () => {
-  const start = await CallerCase.start();
+test('a request reaches the entry with its id, idempotent flag, team and times', async () => {
+  const callers = await CallerCase.start();
   const headers = {
     'idempotency-key': 'swap-7',
     'magnoliakeel-created': '1764670000000',
@@ -137,8 +141,8 @@
     'magnoliakeel-deadline-ms': '1500',
     traceparent: '00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01',
   };
-  await start.send(REQUESTS, { method: 'POST', body: '{"swap":7}', headers });
-  const { $typeName, inputs, ...fields } = start.submissions[0]!;
+  await callers.send(REQUESTS, { method: 'POST', body: '{"swap":7}', headers });
+  const { $typeName, inputs, ...fields } = callers.submissions[0]!;
   expect([inputs.map(String), fields]).toMatchInlineSnapshot(`
     [
       [
@@ -161,28 +165,28 @@
   `);
 });
 
-test('a wait is cut to the time that a job may take', async () => {
-  const start = await CallerCase.start();
-  await start.send(`${CallerCase.JOB}?wait=86400000`);
-  await start.send(`${CallerCase.JOB}?wait=70`, { method: 'GET' });
-  expect(start.submissions.map(({ waitMs }) => waitMs)).toEqual([60_000, 70]);
+test('a wait is limited to the job timeout of the service', async () => {
+  const callers = await CallerCase.start();
+  await callers.send(`${CallerCase.JOB_PATH}?wait=86400000`);
+  await callers.send(`${CallerCase.JOB_PATH}?wait=70`, { method: 'GET' });
+  expect(callers.submissions.map(({ waitMs }) => waitMs)).toEqual([60_000, 70]);
 });
 
-test('another body has another digest, the same body the same', async () => {
-  const start = await CallerCase.start();
-  for (const body of [CallerCase.tasks(1, 2), CallerCase.tasks(12), CallerCase.tasks(1, 2)]) {
-    await start.send(undefined, { body });
+test('different bodies have different digests, equal bodies the same one', async () => {
+  const callers = await CallerCase.start();
+  for (const body of [CallerCase.jobBody(1, 2), CallerCase.jobBody(12), CallerCase.jobBody(1, 2)]) {
+    await callers.send(undefined, { body });
   }
-  const [one, other, again] = start.submissions.map(({ digest }) => digest);
-  expect([one === other, one === again]).toEqual([false, true]);
+  const [first, different, same] = callers.submissions.map(({ digest }) => digest);
+  expect([first === different, first === same]).toEqual([false, true]);
 });
 
-test('a caller does not meet an older configuration than it met before', async () => {
-  const start = await CallerCase.start();
-  const asks = ['3', '4', 'x'].map((version) =>
-    start.send(undefined, { headers: { 'magnoliakeel-configuration': version } }),
+test('a caller is not served under an older configuration than before', async () => {
+  const callers = await CallerCase.start();
+  const requests = ['3', '4', 'x'].map((version) =>
+    callers.send(undefined, { headers: { 'magnoliakeel-configuration': version } }),
   );
-  expect(await Promise.all(asks)).toMatchInlineSnapshot(`
+  expect(await Promise.all(requests)).toMatchInlineSnapshot(`
     [
       "202 pending
     content-length=107
--- a/test/callers/badRequests.test.ts
+++ b/test/callers/badRequests.test.ts
@@ -2,25 +2,25 @@
 import { expect, test } from 'vitest';
 import CallerCase from '../support/CallerCase';
 
-const HEAD = `PUT ${CallerCase.JOB} HTTP/1.1\r\nHost: a\r\n`;
+const HEAD = `PUT ${CallerCase.JOB_PATH} HTTP/1.1\r\nHost: a\r\n`;
 const JOBS = '/v1/services/booking/jobs';
 
 test('a body nested too deeply is refused', async () => {
-  const start = await CallerCase.start({ bodyBytes: 1_000_000 });
+  const callers = await CallerCase.start({ bodyBytes: 1_000_000 });
   const depth = 100_000;
   const body = `{"tasks":[{"input":${'['.repeat(depth)}${']'.repeat(depth)}}]}`;
-  expect(await start.send(undefined, { body })).toMatchInlineSnapshot(`
+  expect(await callers.send(undefined, { body })).toMatchInlineSnapshot(`
     "400 invalid
     content-length=147
     {"outcome":"invalid","reason":"tasks[0].input: it is nested too deeply","findings":[{"place":"tasks[0].input","reason":"it is nested too deeply"}]}"
   `);
 });
 
-test('a target that is no URL is refused', async () => {
-  const start = await CallerCase.start();
+test('a request target that is not a valid URL is refused', async () => {
+  const callers = await CallerCase.start();
   const targets = ['//', 'http://[', `${JOBS}/%zz`];
   const end = 'Host: a\r\nConnection: close\r\nContent-Length: 0\r\n\r\n';
-  const sent = targets.map((target) => start.raw(`PUT ${target} HTTP/1.1\r\n${end}`));
+  const sent = targets.map((target) => callers.sendRaw(`PUT ${target} HTTP/1.1\r\n${end}`));
   expect((await Promise.all(sent)).map((text) => text.split('\n')[0])).toMatchInlineSnapshot(`
     [
       "HTTP/1.1 404 Not Found",
@@ -30,13 +30,13 @@
   `);
 });
 
-test('an oversize body is refused, announced or not', async () => {
-  const start = await CallerCase.start();
+test('an oversized body is refused, with or without Content-Length', async () => {
+  const callers = await CallerCase.start();
   const large = 'x'.repeat(5000);
-  const announced = await start.send(undefined, { body: large });
+  const announced = await callers.send(undefined, { body: large });
   const chunk = `1388\r\n${large}\r\n`;
   const end = 'Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n';
-  const chunked = await start.raw(`${HEAD}${end}${chunk}${chunk}0\r\n\r\n`);
+  const chunked = await callers.sendRaw(`${HEAD}${end}${chunk}${chunk}0\r\n\r\n`);
   expect([announced, chunked]).toMatchInlineSnapshot(`
     [
       "413 invalid
@@ -54,27 +54,29 @@
   `);
 });
 
-test('bodies beyond the memory for all of them are refused until others are done', async () => {
-  const start = await CallerCase.start({ openBodyBytes: 200 });
+test('bodies that exceed the shared memory budget are refused until other requests end', async () => {
+  const callers = await CallerCase.start({ openBodyBytes: 200 });
   const headers = 'Content-Length: 180\r\n\r\n';
-  const first = await start.open(`${HEAD}${headers}${'x'.repeat(179)}`);
-  const body = CallerCase.tasks('x'.repeat(20));
-  await expect.poll(() => start.send(undefined, { body })).toMatch(/^424 unknown/);
-  const single = start.send('/v1/services/booking/requests', { method: 'POST', body });
+  const first = await callers.openSocket(`${HEAD}${headers}${'x'.repeat(179)}`);
+  const body = CallerCase.jobBody('x'.repeat(20));
+  await expect.poll(() => callers.send(undefined, { body })).toMatch(/^424 unknown/);
+  const single = callers.send('/v1/services/booking/requests', { method: 'POST', body });
   expect(await single).toMatch(/^503 not-run/);
   first.destroy();
-  await expect.poll(() => start.send(undefined, { body })).toMatch(/^202 pending/);
+  await expect.poll(() => callers.send(undefined, { body })).toMatch(/^202 pending/);
 });
 
-test('a caller that asks first is not told to send an oversize body', async () => {
-  const start = await CallerCase.start();
-  const large = await start.raw(`${HEAD}Expect: 100-continue\r\nContent-Length: 5000\r\n\r\n`);
-  const body = CallerCase.tasks(1);
+test('Expect: 100-continue with an oversized body gets no 100 Continue', async () => {
+  const callers = await CallerCase.start();
+  const large = await callers.sendRaw(
+    `${HEAD}Expect: 100-continue\r\nContent-Length: 5000\r\n\r\n`,
+  );
+  const body = CallerCase.jobBody(1);
   const head = `${HEAD}Connection: close\r\nExpect: 100-continue\r\nContent-Length: ${body.length}`;
-  const small = await start.open(`${head}\r\n\r\n`);
-  const [told] = await once(small, 'data');
+  const small = await callers.openSocket(`${head}\r\n\r\n`);
+  const [interim] = await once(small, 'data');
   small.write(body);
-  const lines = [large, String(told), await CallerCase.drain(small)].map(
+  const lines = [large, String(interim), await CallerCase.readUntilClose(small)].map(
     (text) => text.split('\n')[0],
   );
   expect(lines.map((line) => line!.trim())).toMatchInlineSnapshot(`
@@ -86,8 +88,8 @@
   `);
 });
 
-test('malformed JSON is refused with its place', async () => {
-  const start = await CallerCase.start();
+test('malformed JSON is refused with the location of the error', async () => {
+  const callers = await CallerCase.start();
   const bodies = [
     '',
     '{"tasks": [',
@@ -96,7 +98,7 @@
     '{"tasks": [{"input": "a\u0001"}]}',
     Buffer.from([0x22, 0xff, 0x22]),
   ];
-  const sent = await Promise.all(bodies.map((body) => start.send(undefined, { body })));
+  const sent = await Promise.all(bodies.map((body) => callers.send(undefined, { body })));
   expect(sent.map(reasonOf)).toMatchInlineSnapshot(`
     [
       "400 body: line 1, column 1: not well-formed JSON: Unexpected end of JSON input",
@@ -110,10 +112,10 @@
   `);
 });
 
-test('a body of the wrong shape is refused with its place', async () => {
-  const start = await CallerCase.start();
-  const bodies = ['7', '[]', '{}', '{"tasks":{}}', '{"tasks":[]}', CallerCase.tasks(1, 2, 3, 4)];
-  const sent = await Promise.all(bodies.map((body) => start.send(undefined, { body })));
+test('a body of the wrong structure is refused with the location of the error', async () => {
+  const callers = await CallerCase.start();
+  const bodies = ['7', '[]', '{}', '{"tasks":{}}', '{"tasks":[]}', CallerCase.jobBody(1, 2, 3, 4)];
+  const sent = await Promise.all(bodies.map((body) => callers.send(undefined, { body })));
   expect(sent.map(reasonOf)).toMatchInlineSnapshot(`
     [
       "400 body: found a number, expected an object with "tasks"",
@@ -126,11 +128,11 @@
   `);
 });
 
-test('all mistakes of a request are named together', async () => {
-  const start = await CallerCase.start();
+test('one refusal lists all errors of a request', async () => {
+  const callers = await CallerCase.start();
   const body = JSON.stringify({ tasks: [1, {}, { input: 'x'.repeat(99) }], task: 1 });
   const headers = { 'magnoliakeel-team': 'wep', 'magnoliakeel-deadline-ms': '-1' };
-  const sent = await start.send(`${JOBS}/my-job?wait=soon`, { body, headers });
+  const sent = await callers.send(`${JOBS}/my-job?wait=soon`, { body, headers });
   const { reason, findings } = JSON.parse(sent.split('\n').at(-1)!);
   const lines = findings.map(
     ({ place, reason: why }: Record<string, string>) => `${place}: ${why}`,
@@ -150,11 +152,11 @@
   `);
 });
 
-test('many mistakes are counted, and the first of them named', async () => {
-  const start = await CallerCase.start({ bodyBytes: 100_000 });
+test('a refusal lists the first 20 errors and counts the rest', async () => {
+  const callers = await CallerCase.start({ bodyBytes: 100_000 });
   const body = JSON.stringify(Object.fromEntries(Array.from({ length: 500 }, (_, n) => [n, n])));
   const { reason, findings } = JSON.parse(
-    (await start.send(undefined, { body })).split('\n').at(-1)!,
+    (await callers.send(undefined, { body })).split('\n').at(-1)!,
   );
   expect([reason, findings.length]).toMatchInlineSnapshot(`
     [
@@ -164,16 +166,16 @@
   `);
 });
 
-test('an id has to be printable and to carry its time', async () => {
-  const start = await CallerCase.start();
+test('an id has to be printable and to have a creation time', async () => {
+  const callers = await CallerCase.start();
   const at = (created: string) => ({ headers: { 'magnoliakeel-created': created } });
   const sent = [
-    await start.send(`${JOBS}/my-job`),
-    await start.send(`${JOBS}/my-job`, at('yesterday')),
-    await start.send(`${JOBS}/my%20job`, at('1764670000000')),
-    await start.send(`${JOBS}/${'a'.repeat(201)}`, at('1764670000000')),
-    await start.send(`${JOBS}/my-job`, { ...at('1'), method: 'GET' }),
-    await start.send(`${JOBS}/my-job`, at('1764670000000')),
+    await callers.send(`${JOBS}/my-job`),
+    await callers.send(`${JOBS}/my-job`, at('yesterday')),
+    await callers.send(`${JOBS}/my%20job`, at('1764670000000')),
+    await callers.send(`${JOBS}/${'a'.repeat(201)}`, at('1764670000000')),
+    await callers.send(`${JOBS}/my-job`, { ...at('1'), method: 'GET' }),
+    await callers.send(`${JOBS}/my-job`, at('1764670000000')),
   ];
   expect(sent.map(reasonOf)).toMatchInlineSnapshot(`
     [
@@ -187,14 +189,14 @@
   `);
 });
 
-test('wrong paths, methods, services and encodings are told apart', async () => {
-  const start = await CallerCase.start();
+test('wrong paths, methods, services and encodings get different statuses', async () => {
+  const callers = await CallerCase.start();
   const sent = [
-    await start.send('/v2/services/booking/jobs/a'),
-    await start.send(CallerCase.JOB, { method: 'PATCH' }),
-    await start.send(CallerCase.JOB.replace('booking', 'bookings')),
-    await start.send(CallerCase.JOB, { headers: { 'content-encoding': 'gzip' } }),
-    await start.send('/v1/services/booking/requests', { method: 'POST', body: 'x'.repeat(65) }),
+    await callers.send('/v2/services/booking/jobs/a'),
+    await callers.send(CallerCase.JOB_PATH, { method: 'PATCH' }),
+    await callers.send(CallerCase.JOB_PATH.replace('booking', 'bookings')),
+    await callers.send(CallerCase.JOB_PATH, { headers: { 'content-encoding': 'gzip' } }),
+    await callers.send('/v1/services/booking/requests', { method: 'POST', body: 'x'.repeat(65) }),
   ];
   expect(sent.join('\n\n')).toMatchInlineSnapshot(`
     "404 invalid
@@ -218,12 +220,12 @@
     content-length=74
     {"outcome":"invalid","reason":"body: found 65 bytes, expected at most 64"}"
   `);
-  expect(start.submissions).toEqual([]);
+  expect(callers.submissions).toEqual([]);
 });
 
-test('a body that trickles in is refused when its time is over', async () => {
-  const start = await CallerCase.start();
-  const text = await start.raw(`${HEAD}Content-Length: 100\r\n\r\n{"tasks"`);
+test('a body that is not complete within the timeout is refused', async () => {
+  const callers = await CallerCase.start();
+  const text = await callers.sendRaw(`${HEAD}Content-Length: 100\r\n\r\n{"tasks"`);
   expect(text).toMatchInlineSnapshot(`
     "HTTP/1.1 408 Request Timeout
     Content-Type: application/json
@@ -235,10 +237,14 @@
   `);
 });
 
-test('headers that trickle in or never end are refused', async () => {
-  const start = await CallerCase.start();
+test('incomplete, oversized and malformed headers are refused', async () => {
+  const callers = await CallerCase.start();
   const flood = `${HEAD}X-Flood: ${'x'.repeat(5000)}\r\n\r\n`;
-  const sent = await Promise.all([start.raw(HEAD), start.raw(flood), start.raw('no HTTP\r\n\r\n')]);
+  const sent = await Promise.all([
+    callers.sendRaw(HEAD),
+    callers.sendRaw(flood),
+    callers.sendRaw('no HTTP\r\n\r\n'),
+  ]);
   expect(sent.map((text) => text.split('\n').filter((line) => /^HTTP|reason/.test(line))))
     .toMatchInlineSnapshot(`
     [
--- a/test/callers/documentation.test.ts
+++ b/test/callers/documentation.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import outcomeTable from '../../src/callers/outcomeTable';
 
-test('the documented outcomes are those of the table', () => {
+test('the documented outcomes match the outcome table', () => {
   const text = readFileSync('docs/API.md', 'utf8');
   const rows = [...text.matchAll(/^\| `([a-z-]+)` +\| (\d{3}) +\|/gm)];
   const documented = new Set(rows.map(([, name, status]) => `${name} ${status}`));
@@ -10,7 +10,7 @@
   expect([...documented].sort()).toEqual([...known].sort());
 });
 
-test('the documented examples have the lengths that they state', () => {
+test('the documented examples have the Content-Length that they state', () => {
   const text = readFileSync('docs/API.md', 'utf8');
   const examples = [...text.matchAll(/```http\n([^]*?)\n```/g)].map(([, example]) => example!);
   const stated = examples.map((example) => Number(/Content-Length: (\d+)/.exec(example)![1]));
--- a/test/callers/serverFaults.test.ts
+++ b/test/callers/serverFaults.test.ts
@@ -16,7 +16,7 @@
   await Promise.all(servers.splice(0).map((server) => server.close(0)));
 });
 
-async function ask(manifest: Manifest | undefined, method: 'POST' | 'PUT', path: string) {
+async function sendRequest(manifest: Manifest | undefined, method: 'POST' | 'PUT', path: string) {
   const server = CallerServer.create({
     ...{ limits, manifest: () => manifest, isLeaving: () => false },
     ...{ version: () => 1n, reached: async () => true },
@@ -35,17 +35,19 @@
   return `${res.statusCode} ${outcome} ${res.headers['retry-after']}`;
 }
 
-test('a fault met on one request is answered and does not end the process', async () => {
-  const broken = {} as Manifest;
-  expect(await ask(broken, 'POST', 'requests')).toMatchInlineSnapshot(`"424 unknown 3"`);
+test('an internal error while serving a request gets a response and does not end the process', async () => {
+  const brokenManifest = {} as Manifest;
+  expect(await sendRequest(brokenManifest, 'POST', 'requests')).toMatchInlineSnapshot(
+    `"424 unknown 3"`,
+  );
 });
 
-test('without a configuration only a request without an id is called not run', async () => {
-  const asked = [
-    await ask(undefined, 'POST', 'requests'),
-    await ask(undefined, 'PUT', 'jobs/01a237f3-2c6e-76e4-8f67-9b15b8a451ea'),
+test('without a configuration only a request without an id is refused as not run', async () => {
+  const responses = [
+    await sendRequest(undefined, 'POST', 'requests'),
+    await sendRequest(undefined, 'PUT', 'jobs/01a237f3-2c6e-76e4-8f67-9b15b8a451ea'),
   ];
-  expect(asked).toMatchInlineSnapshot(`
+  expect(responses).toMatchInlineSnapshot(`
     [
       "503 not-run 3",
       "424 unknown 3",
--- a/test/support/CallerCase.ts
+++ b/test/support/CallerCase.ts
@@ -45,10 +45,10 @@
   recordBytes: 1,
 };
 
-/** The callers' interface over real HTTP on a free port, with an entry behind it that a test plays. */
+/** A caller server on a free port, reached over real HTTP, with a fake entry that the test controls. */
 export default class CallerCase {
-  /** A job that a test may submit: `PUT` with one task, if nothing else is said. */
-  static readonly JOB = '/v1/services/booking/jobs/0192d0c8-0000-7000-8000-000000000000';
+  /** Path of a job; by default `send` submits it with `PUT` and one task. */
+  static readonly JOB_PATH = '/v1/services/booking/jobs/0192d0c8-0000-7000-8000-000000000000';
 
   readonly submissions: Submission[] = [];
 
@@ -58,8 +58,8 @@
 
   isLeaving = false;
 
-  /** How the entry answers. */
-  submit: (submission: Submission, gone: AbortSignal) => Promise<Answer> = async () =>
+  /** How the fake entry answers; tests may replace it. */
+  submit: (submission: Submission, callerGone: AbortSignal) => Promise<Answer> = async () =>
     CallerCase.answer({ outcome: Outcome.PENDING, size: 1 });
 
   readonly server: CallerServer;
@@ -76,45 +76,45 @@
       version: () => 3n,
       reached: async (version) => version <= 3n,
       isLeaving: () => this.isLeaving,
-      submit: ({ submission }, gone) => {
+      submit: ({ submission }, callerGone) => {
         this.submissions.push(submission);
-        return this.submit(submission, gone);
+        return this.submit(submission, callerGone);
       },
       failed: (error) => this.faults.push(error),
     });
   }
 
-  /** Starts listening, until the test is over. */
+  /** Starts a server that listens until the test ends. */
   static async start(
     limits: Partial<EntrySettings['limits']> = {},
     tls?: TlsCredentials,
   ): Promise<CallerCase> {
-    const made = new CallerCase(limits, tls);
-    made.address = valueOf(await made.server.listen('127.0.0.1:0'));
-    onTestFinished(() => made.server.close(0));
-    return made;
+    const callerCase = new CallerCase(limits, tls);
+    callerCase.address = valueOf(await callerCase.server.listen('127.0.0.1:0'));
+    onTestFinished(() => callerCase.server.close(0));
+    return callerCase;
   }
 
-  /** An answer of the entry. */
+  /** Creates an answer of the entry. */
   static answer(init: Init): Answer {
     return create(AnswerSchema, init);
   }
 
-  /** A job's body with these inputs. */
-  static tasks(...inputs: unknown[]): string {
+  /** Body of a job whose tasks have these inputs. */
+  static jobBody(...inputs: unknown[]): string {
     return JSON.stringify({ tasks: inputs.map((input) => ({ input })) });
   }
 
-  /** Sends a request; the status, the headers that count and the body of its response. */
-  async send(path = CallerCase.JOB, options: Options = {}): Promise<string> {
+  /** Sends a request; returns status, selected headers and body of the response as text. */
+  async send(path = CallerCase.JOB_PATH, options: Options = {}): Promise<string> {
     const { method = 'PUT', headers = {} } = options;
-    const body = options.body ?? (method === 'PUT' ? CallerCase.tasks(1) : null);
+    const body = options.body ?? (method === 'PUT' ? CallerCase.jobBody(1) : null);
     const res = await request(`http://${this.address}${path}`, { method, headers, body });
-    return describe(res.statusCode, res.headers, await res.body.text());
+    return formatResponse(res.statusCode, res.headers, await res.body.text());
   }
 
-  /** Opens a connection and writes this text as it is. */
-  async open(text: string): Promise<Socket> {
+  /** Opens a connection and writes the text unchanged. */
+  async openSocket(text: string): Promise<Socket> {
     const { port } = new URL(`http://${this.address}`);
     const socket = connect(Number(port), '127.0.0.1');
     await once(socket, 'connect');
@@ -123,13 +123,13 @@
     return socket;
   }
 
-  /** Writes this text as it is and returns all that comes back until the connection ends. */
-  async raw(text: string): Promise<string> {
-    return CallerCase.drain(await this.open(text));
+  /** Writes the text to a new connection and returns everything received until it closes. */
+  async sendRaw(text: string): Promise<string> {
+    return CallerCase.readUntilClose(await this.openSocket(text));
   }
 
-  /** All that a connection still brings. */
-  static async drain(socket: Socket): Promise<string> {
+  /** Everything received on a connection until it closes, without the `Date` header. */
+  static async readUntilClose(socket: Socket): Promise<string> {
     let received = '';
     socket.on('data', (chunk) => {
       received += chunk;
@@ -139,14 +139,20 @@
   }
 }
 
-const SHOWN = ['content-length', 'magnoliakeel-count', 'retry-after', 'connection', 'allow'];
+const SHOWN_HEADERS = [
+  'content-length',
+  'magnoliakeel-count',
+  'retry-after',
+  'connection',
+  'allow',
+];
 
-function describe(
+function formatResponse(
   status: number,
   headers: Readonly<Record<string, unknown>>,
   body: string,
 ): string {
-  const shown = SHOWN.filter(
+  const shown = SHOWN_HEADERS.filter(
     (name) => headers[name] !== undefined && headers[name] !== 'keep-alive',
   );
   const pairs = shown.map((name) => `${name}=${headers[name]}`);
--- a/test/support/HttpStandIn.ts
+++ b/test/support/FakeHttpServer.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** What was called, with its JSON body. */
+/** A received call with its JSON body. */
 interface Call {
   readonly method: string;
   readonly path: string;
@@ -9,19 +9,19 @@
   readonly body: unknown;
 }
 
-/** How a call is answered: status and body, or not at all. */
+/** Response to a call: status and body, no response, or a connection reset. */
 type Reply =
   | {
       readonly status: number;
       readonly body?: unknown;
-      /** The body comes in so many parts, ms apart from each other. */
+      /** Sends the body in this many parts, with gaps in ms. */
       readonly parts?: { readonly count: number; readonly gapMs: number };
     }
   | 'silence'
   | 'reset';
 
-/** An HTTP server whose answers a test gives. */
-export default class HttpStandIn {
+/** An HTTP server whose responses the test determines. */
+export default class FakeHttpServer {
   readonly calls: Call[] = [];
 
   private readonly server: Server;
@@ -30,20 +30,20 @@
     this.server = createServer((req, res) => this.serve(req, res));
   }
 
-  /** Opens a server at a free port. */
-  static async open(reply: (call: Call) => Reply): Promise<HttpStandIn> {
-    const standIn = new HttpStandIn(reply);
+  /** Opens a server on a free port. */
+  static async open(reply: (call: Call) => Reply): Promise<FakeHttpServer> {
+    const fake = new FakeHttpServer(reply);
     await new Promise<void>((resolve) => {
-      standIn.server.listen(0, '127.0.0.1', resolve);
+      fake.server.listen(0, '127.0.0.1', resolve);
     });
-    return standIn;
+    return fake;
   }
 
   get address(): string {
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Ends it; its port refuses connections then. */
+  /** Closes the server; its port then refuses connections. */
   async close(): Promise<void> {
     this.server.closeAllConnections();
     await new Promise<void>((resolve) => {
@@ -64,15 +64,15 @@
       if (reply === 'reset') req.socket.destroy();
       else if (reply !== 'silence') {
         res.writeHead(reply.status, { 'content-type': 'application/json' });
-        const whole = reply.body === undefined ? '' : JSON.stringify(reply.body);
-        if (reply.parts) sendParts(res, whole, reply.parts.count, reply.parts.gapMs);
-        else res.end(whole);
+        const responseText = reply.body === undefined ? '' : JSON.stringify(reply.body);
+        if (reply.parts) sendParts(res, responseText, reply.parts.count, reply.parts.gapMs);
+        else res.end(responseText);
       }
     });
   }
 }
 
-/** Sends a text part by part; the last one only if there is still somebody to send it to. */
+/** Sends a text in parts until it is complete or the connection is closed. */
 function sendParts(res: ServerResponse, text: string, count: number, gapMs: number): void {
   const size = Math.ceil(text.length / count);
   const send = (from: number): void => {
--- a/test/support/StandInSidecar.ts
+++ b/test/support/FakeSidecar.ts
@@ -13,12 +13,12 @@
 import NetworkCase from './NetworkCase';
 import valueOf from './valueOf';
 
-/** A sidecar of the service "s" over TCP, whose backend server runs what is ordered until a test ends it. */
-export default class StandInSidecar {
-  /** Numbers of the orders that run. */
+/** A sidecar of the service "s" over TCP. Its backend server runs what is requested until the test finishes it. */
+export default class FakeSidecar {
+  /** Numbers of the active runs. */
   readonly running: number[] = [];
 
-  private readonly beat;
+  private readonly pulseTimer;
 
   private constructor(
     private readonly link: Link,
@@ -30,28 +30,28 @@
     });
     link.send({ case: 'room', value });
     const pulse = create(PulseSchema);
-    this.beat = SystemTimer.create().every(pulseTimings.intervalMs, () =>
+    this.pulseTimer = SystemTimer.create().every(pulseTimings.intervalMs, () =>
       link.send({ case: 'pulse', value: pulse }),
     );
     this.read();
   }
 
-  /** Links to an entry. */
-  static async linkTo(address: string): Promise<StandInSidecar> {
+  /** Opens a link to an entry. */
+  static async linkTo(address: string): Promise<FakeSidecar> {
     const network = ConnectNetwork.create(SystemTimer.create());
     const hello = NetworkCase.hello('s1', { cluster: 'c', role: Role.SIDECAR, services: ['s'] });
-    return new StandInSidecar(valueOf(await network.dial(address, hello)), network);
+    return new FakeSidecar(valueOf(await network.dial(address, hello)), network);
   }
 
-  /** Reports that all that runs is done. */
+  /** Reports all active runs as done. */
   finish(): void {
     const ends = this.running.splice(0).map((number) => ({ number, outcome: RunOutcome.DONE }));
     this.link.send({ case: 'runsEnded', value: create(RunsEndedSchema, { ends }) });
   }
 
-  /** Ends the link. */
+  /** Closes the link. */
   close(): void {
-    this.beat.cancel();
+    this.pulseTimer.cancel();
     this.link.close();
     this.network.close();
   }
--- a/test/usersPlatform/CallerServer.test.ts
+++ b/test/usersPlatform/CallerServer.test.ts
@@ -9,7 +9,7 @@
 const ID = '5c0e7a21d94b36f8';
 const job = { best_effort: true, spec: '50', steps: [{ count: 2, cpu: 4_000, estimate_ms: 50 }] };
 
-interface Ask {
+interface TestRequest {
   readonly method?: string;
   readonly path?: string;
   readonly host?: string;
@@ -17,15 +17,18 @@
   readonly waitMs?: number;
 }
 
-/** Answers of a caller server before an entry and two sidecars in memory, whose time is moved on. */
-async function ask(asks: readonly Ask[], prepare?: (server: CallerServer) => void) {
+/** Sends requests to the caller server of a simulated entry with two sidecars; returns the responses. */
+async function answersTo(
+  requests: readonly TestRequest[],
+  prepare?: (server: CallerServer) => void,
+) {
   const batchCase = await BatchCase.open({ entries: 1 });
   const server = CallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
   prepare?.(server);
   const answers = [];
-  for (const each of asks) {
-    const answer = send(server.port, each);
+  for (const testRequest of requests) {
+    const answer = send(server.port, testRequest);
     let isAnswered = false;
     answer.then(() => {
       isAnswered = true;
@@ -37,7 +40,7 @@
   return answers;
 }
 
-function send(port: number, what: Ask) {
+function send(port: number, what: TestRequest) {
   const { method = 'POST', path = `/q/${ID}`, host = 'h', body, waitMs = 3_000 } = what;
   return new Promise<string>((resolve, reject) => {
     const headers = { host, 'content-type': 'application/json', 'x-deadline-ms': waitMs };
@@ -47,8 +50,10 @@
         text += chunk.toString();
       });
       const { connection, 'retry-after': retry } = res.headers;
-      const marks = [retry === undefined ? '' : ' with Retry-After', ` ${connection}`].join('');
-      res.on('end', () => resolve(`${res.statusCode} ${text}${marks}`));
+      const headerText = [retry === undefined ? '' : ' with Retry-After', ` ${connection}`].join(
+        '',
+      );
+      res.on('end', () => resolve(`${res.statusCode} ${text}${headerText}`));
     });
     req.on('error', reject);
     req.end(body === undefined ? undefined : JSON.stringify(body));
@@ -56,15 +61,15 @@
 }
 
 test('a job is answered when it has ended', async () => {
-  expect(await ask([{ body: job }])).toMatchInlineSnapshot(`
+  expect(await answersTo([{ body: job }])).toMatchInlineSnapshot(`
     [
       "200 {"state":"completed"} keep-alive",
     ]
   `);
 });
 
-test('requests that cannot be served are told why', async () => {
-  const asks: Ask[] = [
+test('requests that cannot be served are refused with a reason', async () => {
+  const requests: TestRequest[] = [
     { host: 'other', body: job },
     { body: { ...job, best_effort: false } },
     { body: 'no job' },
@@ -72,7 +77,7 @@
     { method: 'PATCH' },
     { body: { ...job, spec: 'x'.repeat(300_000) } },
   ];
-  expect(await ask(asks)).toMatchInlineSnapshot(`
+  expect(await answersTo(requests)).toMatchInlineSnapshot(`
     [
       "404 {"error":"no such queue"} keep-alive",
       "503 {"error":"not supported: jobs that are kept: only best-effort jobs are run so far","retry_after_ms":1000} with Retry-After keep-alive",
@@ -84,9 +89,13 @@
   `);
 });
 
-test('a job that is not open is gone, and a queue tells how many wait', async () => {
-  const asks: Ask[] = [{ method: 'GET' }, { method: 'DELETE' }, { method: 'GET', path: '/q/' }];
-  expect(await ask(asks)).toMatchInlineSnapshot(`
+test('requests for an unknown job get 410, and a queue reports its number of pending jobs', async () => {
+  const requests: TestRequest[] = [
+    { method: 'GET' },
+    { method: 'DELETE' },
+    { method: 'GET', path: '/q/' },
+  ];
+  expect(await answersTo(requests)).toMatchInlineSnapshot(`
     [
       "410 {"error":"no such job"} keep-alive",
       "410 {} keep-alive",
@@ -95,7 +104,7 @@
   `);
 });
 
-test('a cancelled job is answered as cancelled, so that it is not sent again', async () => {
+test('a cancelled job is answered as cancelled, so that the caller does not resubmit it', async () => {
   const batchCase = await BatchCase.open({ entries: 1 });
   const server = CallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
@@ -110,12 +119,12 @@
   ]);
 });
 
-test('a leaving entry ends connections with their answers', async () => {
-  const answers = await ask([{ body: job }], (server) => server.startDraining());
+test('an entry that shuts down closes connections with their responses', async () => {
+  const answers = await answersTo([{ body: job }], (server) => server.startDraining());
   expect(answers).toEqual(['200 {"state":"completed"} close']);
 });
 
-/** The answer to a job whose entry gets its configuration so long after its arrival. */
+/** The response to a job if the entry gets its first configuration this long after the job arrives. */
 async function answerBeforeConfiguration(afterMs: number, startedMsAgo = 0): Promise<string> {
   const batchCase = await BatchCase.open({ entries: 1, configured: false });
   await batchCase.timer.advance(startedMsAgo);
@@ -138,18 +147,18 @@
   expect(await answerBeforeConfiguration(800)).toBe('200 {"state":"completed"} keep-alive');
 });
 
-test('a job waits half of its time for the first configuration at most', async () => {
+test('a job waits at most half of its time for the first configuration', async () => {
   expect(await answerBeforeConfiguration(1_800)).toMatch(/^503 .*there is no configuration yet/);
 });
 
-test('an entry that has gone without a configuration for long refuses at once', async () => {
+test('an entry that has been without a configuration for long refuses at once', async () => {
   expect(await answerBeforeConfiguration(20, 3_000)).toMatch(/^503 /);
 });
 
-// A job of 10^12 tasks threw where its tasks are laid out. The line "a request broke off" was all that showed
-// it: the caller's connection was closed without an answer ("socket hang up"), which a caller can't tell from
-// an entry that has gone, and a batch that had been taken by then ran on until its time was over.
-test('a fault while a job is served is told to its caller, and what runs of it is stopped', async () => {
+// A job of 10^12 tasks threw an error when its task list was created. The caller's connection was closed without
+// a response ("socket hang up"), which a caller can't tell from a crash of the entry, and a batch that had been
+// accepted by then kept running until its time was over. Only a log line showed the error.
+test('an internal error while a job is served gets a response, and the runs of the job are stopped', async () => {
   const batchCase = await BatchCase.open({ entries: 1 });
   const [real] = batchCase.entries as [BatchEntry];
   const submit: BatchEntry['submit'] = async (submission, gone) => {
@@ -168,17 +177,17 @@
   ]);
 });
 
-/** What is noted of callers whose connections end after a second of their second request. */
-async function noteOfGone(end: (caller: Socket, server: CallerServer) => void) {
-  const notes: unknown[] = [];
+/** The fields logged when a connection ends during its second request, and what then still runs. */
+async function logOfDisconnect(end: (caller: Socket, server: CallerServer) => void) {
+  const logged: unknown[] = [];
   const batchCase = await BatchCase.open({ entries: 1 });
-  const noting = {
+  const recordingLog = {
     ...log,
     info: (message: string, { afterMs, ...fields }: Readonly<Record<string, unknown>>) =>
       message.startsWith('a caller is gone') &&
-      notes.push({ ...fields, isTimed: Number(afterMs) > 0 }),
+      logged.push({ ...fields, isTimed: Number(afterMs) > 0 }),
   };
-  const server = CallerServer.create(batchCase.entries[0]!, noting);
+  const server = CallerServer.create(batchCase.entries[0]!, recordingLog);
   await server.listen('127.0.0.1:0');
   const body = JSON.stringify({ ...job, spec: '5000' });
   const head = `POST /q/${ID} HTTP/1.1\r\nhost: h\r\ncontent-length: ${body.length}\r\n\r\n`;
@@ -191,17 +200,17 @@
   caller.write(head + body);
   while (batchCase.running.length === 0) await batchCase.timer.advance(20);
   end(caller, server);
-  while (notes.length === 0) await new Promise(setImmediate);
+  while (logged.length === 0) await new Promise(setImmediate);
   await batchCase.timer.advance(200);
   server.close();
-  return [...notes, { running: batchCase.running }];
+  return [...logged, { running: batchCase.running }];
 }
 
-test('it is noted how a connection ended before its answer', async () => {
+test('the log says how a connection ended before its response', async () => {
   expect({
-    closed: await noteOfGone((caller) => caller.end()),
-    broken: await noteOfGone((caller) => caller.resetAndDestroy()),
-    ended: await noteOfGone((_caller, server) =>
+    closed: await logOfDisconnect((caller) => caller.end()),
+    broken: await logOfDisconnect((caller) => caller.resetAndDestroy()),
+    ended: await logOfDisconnect((_caller, server) =>
       Reflect.get(server, 'server').closeAllConnections(),
     ),
   }).toMatchInlineSnapshot(`
@@ -244,9 +253,9 @@
   `);
 });
 
-// Node's timers take no more than 2^31 - 1 ms and fire at once beyond: a job whose caller said that it waits
-// for 10^11 ms was answered within a few ms ("its time is over with 1 tasks not done").
-test('a caller that waits for years is taken to wait for a day', async () => {
+// Node's timers fire at once for more than 2^31 - 1 ms: a job whose caller stated a wait of 10^11 ms was answered
+// within a few ms ("its time is over with 1 tasks not done").
+test('a wait of years is limited to a day', async () => {
   const batchCase = await BatchCase.open({ entries: 1 });
   let waitMs = 0;
   const submit: BatchEntry['submit'] = async (submission) => {
--- a/test/usersPlatform/HttpBackendRunClient.test.ts
+++ b/test/usersPlatform/HttpBackendRunClient.test.ts
@@ -3,31 +3,31 @@
 import SystemTimer from '../../src/core/SystemTimer';
 import Resources from '../../src/room/Resources';
 import errorOf from '../support/errorOf';
-import HttpStandIn from '../support/HttpStandIn';
+import FakeHttpServer from '../support/FakeHttpServer';
 import valueOf from '../support/valueOf';
 
-/** For answers that are given at once: none of these tests is about time, and a busy machine takes some hundred ms. */
-const PATIENCE_MS = 10_000;
+/** For responses that are sent at once: these tests are not about time, and a busy machine takes some hundred ms. */
+const TIMEOUT_MS = 10_000;
 
 const run = { batch: '5c0e7a21d94b36f8', step: 1, index: 17, attempt: 2 };
 
-async function open(reply: Parameters<typeof HttpStandIn.open>[0]) {
-  const runner = await HttpStandIn.open(reply);
-  return { runner, calls: callsTo(runner.address) };
+async function open(reply: Parameters<typeof FakeHttpServer.open>[0]) {
+  const backend = await FakeHttpServer.open(reply);
+  return { backend, client: clientOf(backend.address) };
 }
 
-function callsTo(address: string): HttpBackendRunClient {
+function clientOf(address: string): HttpBackendRunClient {
   return HttpBackendRunClient.create(SystemTimer.create(), {
     ...{ id: 'i-1', address, service: 's', labels: [], draining: false },
     ...{ capacity: Resources.none, clockMs: 0, sequence: 1 },
   });
 }
 
-test('a start names the task, its attempt, the lease and the life it is meant for', async () => {
-  const { runner, calls } = await open(() => ({ status: 200, body: { clock_ms: 1 } }));
-  const res = await calls.start(run, 'text', 486_000, 7, PATIENCE_MS);
-  await runner.close();
-  const [{ method, path, body, headers }] = runner.calls as [(typeof runner.calls)[number]];
+test('a start has the task, its attempt, the lease and the intended backend server', async () => {
+  const { backend, client } = await open(() => ({ status: 200, body: { clock_ms: 1 } }));
+  const res = await client.start(run, 'text', 486_000, 7, TIMEOUT_MS);
+  await backend.close();
+  const [{ method, path, body, headers }] = backend.calls as [(typeof backend.calls)[number]];
   expect([valueOf(res), method, path, headers['x-expected-instance'], body]).toMatchInlineSnapshot(`
     [
       "started",
@@ -51,14 +51,14 @@
   ['late', 'late'],
   ['room', 'full'],
   ['new word', 'unfit'],
-])('a start refused for "%s" is %s', async (reason, expected) => {
-  const { runner, calls } = await open(() => ({ status: 409, body: { clock_ms: 1, reason } }));
-  const res = await calls.start(run, '', 1, 1, PATIENCE_MS);
-  await runner.close();
+])('a start refused with "%s" is %s', async (reason, expected) => {
+  const { backend, client } = await open(() => ({ status: 409, body: { clock_ms: 1, reason } }));
+  const res = await client.start(run, '', 1, 1, TIMEOUT_MS);
+  await backend.close();
   expect(valueOf(res)).toBe(expected);
 });
 
-// Any failure was taken for a refusal, which has the task started elsewhere at once.
+// Every failure was treated as a refusal, after which the task is started elsewhere at once.
 test.each([
   [400, 'unfit'],
   [429, 'unfit'],
@@ -66,22 +66,22 @@
   [500, 'unanswered'],
   [502, 'unanswered'],
   [504, 'unanswered'],
-])('a start answered with %i counts as %s', async (status, expected) => {
-  const { runner, calls } = await open(() => ({ status, body: {} }));
-  const res = await calls.start(run, '', 1, 1, PATIENCE_MS);
-  await runner.close();
+])('a start with response status %i counts as %s', async (status, expected) => {
+  const { backend, client } = await open(() => ({ status, body: {} }));
+  const res = await client.start(run, '', 1, 1, TIMEOUT_MS);
+  await backend.close();
   expect(res.isOk() ? res.value : res.error.kind).toBe(expected);
 });
 
-test('a list of runs tells when the life that has them started', async () => {
+test('a poll returns the start time of the incarnation', async () => {
   const body = { clock_ms: 1, born: 1_780_000_000_000, running: [], finished: [] };
-  const { runner, calls } = await open(() => ({ status: 200, body }));
-  const res = await calls.poll(0, 7, 0, PATIENCE_MS);
-  await runner.close();
+  const { backend, client } = await open(() => ({ status: 200, body }));
+  const res = await client.poll(0, 7, 0, TIMEOUT_MS);
+  await backend.close();
   expect(valueOf(res)).toEqual({ born: 1_780_000_000_000, running: [], ended: [] });
 });
 
-test('rows of a hold are read by their place', async () => {
+test('the rows in the response to a poll are read by column', async () => {
   const name = '5c0e7a21d94b36f8.0.1.17';
   const body = {
     clock_ms: 1,
@@ -91,10 +91,10 @@
       [59, name, 2, 'lapsed', ''],
     ],
   };
-  const { runner, calls } = await open(() => ({ status: 200, body }));
-  const res = await calls.poll(57, 7, 0, PATIENCE_MS);
-  await runner.close();
-  expect([valueOf(res), runner.calls[0]?.body]).toMatchInlineSnapshot(`
+  const { backend, client } = await open(() => ({ status: 200, body }));
+  const res = await client.poll(57, 7, 0, TIMEOUT_MS);
+  await backend.close();
+  expect([valueOf(res), backend.calls[0]?.body]).toMatchInlineSnapshot(`
     [
       {
         "ended": [
@@ -143,28 +143,28 @@
 });
 
 test.each([
-  ['another life answers', { status: 421 } as const, 'replaced'],
-  ['nobody answers', 'silence' as const, 'unanswered'],
-  ['the connection breaks', 'reset' as const, 'unanswered'],
-  ['it answers with a mistake', { status: 400, body: {} } as const, 'refused'],
-])('when %s a stop has failed as such', async (_name, reply, kind) => {
-  const { runner, calls } = await open(() => reply);
-  const res = await calls.stop(run, 1, 100);
-  await runner.close();
+  ['another instance answers', { status: 421 } as const, 'replaced'],
+  ['there is no response', 'silence' as const, 'unanswered'],
+  ['the connection is reset', 'reset' as const, 'unanswered'],
+  ['it answers with a client error', { status: 400, body: {} } as const, 'refused'],
+])('when %s, a stop fails accordingly', async (_name, reply, kind) => {
+  const { backend, client } = await open(() => reply);
+  const res = await client.stop(run, 1, 100);
+  await backend.close();
   expect(errorOf(res).kind).toBe(kind);
 });
 
-test('when nothing listens, nothing was carried out', async () => {
-  const { runner, calls } = await open(() => 'silence');
-  await runner.close();
-  const res = await calls.stop(run, 1, 100);
+test('a call to a closed port fails as not carried out', async () => {
+  const { backend, client } = await open(() => 'silence');
+  await backend.close();
+  const res = await client.stop(run, 1, 100);
   expect(errorOf(res).kind).toBe('closed');
 });
 
-// A heartbeat may name an address that no connection can be made to. The call rejected instead of having a
-// result ("Port should be >= 0 and < 65536. Received type string ('99999')"): the life that sent it was
-// never looked at again, and a task of this process that awaits such a call would have ended for good.
-test('a call to an address that is none has a result like one to a closed port', async () => {
-  const res = await callsTo('10.0.0.1:99999').poll(0, 1, 0, 100);
+// A heartbeat may have an address that can't be connected to. The call rejected instead of returning an error
+// ("Port should be >= 0 and < 65536. Received type string ('99999')"): the incarnation that sent the heartbeat
+// was never polled again, and any loop of this process that awaits such a call would have ended for good.
+test('a call to an invalid address returns the same error as one to a closed port', async () => {
+  const res = await clientOf('10.0.0.1:99999').poll(0, 1, 0, 100);
   expect(errorOf(res).kind).toBe('closed');
 });
--- a/test/usersPlatform/bundles.test.ts
+++ b/test/usersPlatform/bundles.test.ts
@@ -5,7 +5,7 @@
 import { afterAll, beforeAll, expect, test, vi } from 'vitest';
 import freePort from '../support/freePort';
 
-// Building and starting takes seconds beside other busy processes.
+// Building and starting takes seconds on a busy machine.
 vi.setConfig({ testTimeout: 60_000, hookTimeout: 60_000 });
 
 let folder: string;
@@ -26,8 +26,8 @@
   };
 }
 
-/** Starts a role until it has written a line with one of the texts, and returns that line. */
-function lineOf(role: string, settings: string, texts: readonly string[]): Promise<string> {
+/** Starts a role, stops it once it has written a line with one of the texts, and returns that line. */
+function firstLineWith(role: string, settings: string, texts: readonly string[]): Promise<string> {
   const file = path.join(folder, `settings-${settings.length}.yaml`);
   writeFileSync(file, settings);
   const env = { ...process.env, MAGNOLIAKEEL_NODE_FILE: file };
@@ -45,28 +45,34 @@
   });
 }
 
-const ANY = ['has started', 'not usable'];
+const START_MESSAGES = ['has started', 'not usable'];
 
 test('a bundle starts with settings that are JSON', async () => {
   const settings = JSON.stringify(await sidecarSettings());
-  expect(await lineOf('sidecar', settings, ANY)).toContain('the sidecar has started');
+  expect(await firstLineWith('sidecar', settings, START_MESSAGES)).toContain(
+    'the sidecar has started',
+  );
 });
 
-test('a bundle starts with settings in other YAML', async () => {
+test('a bundle starts with settings in YAML that is not JSON', async () => {
   const { listen, store } = await sidecarSettings();
   const settings = [
     ...['cluster: c', 'instance: s1', 'zone: z', 'seeds: []', 'peerPort: 7100'],
     ...['listen:', `  backend: ${listen.backend}`, `  metrics: ${listen.metrics}`],
     ...['store:', `  address: ${store.address}`],
   ].join('\n');
-  expect(await lineOf('sidecar', settings, ANY)).toContain('the sidecar has started');
+  expect(await firstLineWith('sidecar', settings, START_MESSAGES)).toContain(
+    'the sidecar has started',
+  );
 });
 
-test('a bundle tells the places that are wrong in its settings', async () => {
-  expect(await lineOf('entry', 'cluster: 5', ANY)).toContain(':1:10 cluster: found 5');
+test('a bundle reports the locations of errors in its settings', async () => {
+  expect(await firstLineWith('entry', 'cluster: 5', START_MESSAGES)).toContain(
+    ':1:10 cluster: found 5',
+  );
 });
 
-test('a sidecar shows its metrics when it is asked', async () => {
+test('a sidecar serves its metrics', async () => {
   const settings = await sidecarSettings();
   const file = path.join(folder, 'metrics.yaml');
   writeFileSync(file, JSON.stringify(settings));
@@ -81,8 +87,8 @@
   expect(text).toContain('magnoliakeel_linked_entries 0');
 });
 
-// Numbers formatted for a file of histograms, and TLS for pushing metrics, took a twelfth of an entry's start.
-test('an entry loads no part of a package that it does not use', () => {
+// Number formatting for histogram files, and TLS for pushing metrics, took a twelfth of an entry's start time.
+test('an entry does not load parts of packages that it does not use', () => {
   const text = readFileSync(path.join(folder, 'entry.cjs'), 'utf8');
   expect(['StartTimestamp', 'processCpuTotal'].filter((word) => text.includes(word))).toEqual([]);
 });
--- a/test/usersPlatform/formats.test.ts
+++ b/test/usersPlatform/formats.test.ts
@@ -7,7 +7,7 @@
 
 const step = { count: 2, cpu: 6200, mem_mb: 64, estimate_ms: 85.4 };
 
-test('a job is read into steps of the product', () => {
+test('a job is converted to batch steps', () => {
   const steps = [
     step,
     { count: 1, after: [0], constraints: 'a', affinity: 'r1', anti_affinity: 3 },
@@ -51,25 +51,25 @@
 });
 
 test.each([
-  ['kept', { steps: [step] }],
-  ['a gang', { best_effort: true, steps: [{ ...step, gang: true }] }],
-  ['lasting', { best_effort: true, steps: [{ ...step, long_running: true }] }],
+  ['not best-effort', { steps: [step] }],
+  ['a gang of tasks', { best_effort: true, steps: [{ ...step, gang: true }] }],
+  ['long-running', { best_effort: true, steps: [{ ...step, long_running: true }] }],
   ['repeated', { best_effort: true, repeat_count: 3, steps: [step] }],
-  ['filling', { best_effort: true, steps: [{ ...step, utilization: true }] }],
-])('a job that is %s is told apart as not supported', (_name, job) => {
+  ['utilization only', { best_effort: true, steps: [{ ...step, utilization: true }] }],
+])('a job of a kind not supported yet is refused as such: %s', (_name, job) => {
   expect(readSubmission(job).kind).toBe('unsupported');
 });
 
 test.each([
-  ['no object', 7],
-  ['no step', { best_effort: true, steps: [] }],
+  ['not an object', 7],
+  ['no steps', { best_effort: true, steps: [] }],
   ['a step without tasks', { best_effort: true, steps: [{ cpu: 1 }] }],
-  ['a step after itself', { best_effort: true, steps: [{ ...step, after: [0] }] }],
-])('a body with %s is invalid', (_name, job) => {
+  ['a step that depends on itself', { best_effort: true, steps: [{ ...step, after: [0] }] }],
+])('a job body is invalid: %s', (_name, job) => {
   expect(readSubmission(job).kind).toBe('invalid');
 });
 
-test('a route of the configuration is a queue, found by host and longest prefix', () => {
+test('a route of the configuration becomes a queue, found by host and longest prefix', () => {
   const route = { host: 'h', service: 's', max_attempts: 2, timeout_ms: 1500, priority: 1 };
   const res = readConfiguration(
     JSON.stringify({
@@ -90,7 +90,7 @@
   ]);
 });
 
-test('a heartbeat is read into a report of the product', () => {
+test('a heartbeat is converted to the internal form', () => {
   const body = {
     ...{ service: 's', addr: '10.0.0.1:8', state: 'draining', seq: 4, clock_ms: 9 },
     ...{ capacity: { cpu: 64_000, mem_mb: 1_024 }, labels: ['a', 'r1-3'] },
@@ -123,13 +123,13 @@
 
 test.each([
   ['no clock', { clock_ms: undefined }, "the body: must have required property 'clock_ms'"],
-  ['a text as room', { capacity: { cpu: '9', mem_mb: 1 } }, 'capacity.cpu: must be number'],
-  ['a state not known', { state: 'open' }, 'state: must be equal to one of the allowed values'],
+  ['a string as capacity', { capacity: { cpu: '9', mem_mb: 1 } }, 'capacity.cpu: must be number'],
+  ['an unknown state', { state: 'open' }, 'state: must be equal to one of the allowed values'],
   ['no address', { addr: 'here' }, /^addr: must match pattern/],
-  ['a start that is no whole number', { born: 1.5 }, 'born: must be integer'],
-  ['a service that is no text', { service: 7 }, 'service: must be string'],
-])('a heartbeat with %s names no backend server, and the place is told', (_name, change, place) => {
-  expect(errorOf(readHeartbeat('i-1', { ...heartbeat, ...change }))).toMatch(place);
+  ['a start time that is not an integer', { born: 1.5 }, 'born: must be integer'],
+  ['a service that is not a string', { service: 7 }, 'service: must be string'],
+])('a heartbeat with %s is refused with the location of the error', (_name, change, reason) => {
+  expect(errorOf(readHeartbeat('i-1', { ...heartbeat, ...change }))).toMatch(reason);
 });
 
 test.each([
--- a/test/usersPlatform/heartbeats.test.ts
+++ b/test/usersPlatform/heartbeats.test.ts
@@ -12,7 +12,7 @@
   ...{ born: BORN, labels: ['a'], capacity: { cpu: 64_000, mem_mb: 1_024, gpu: 0 } },
 };
 
-/** The address that hears a backend server whose first life is there. */
+/** Opens a heartbeat server with the sidecar of a backend server whose first incarnation is known. */
 async function open() {
   const { runCase } = await RunCase.open(undefined, BORN);
   const { host } = runCase;
@@ -37,12 +37,12 @@
 
 type Schema = Readonly<Record<string, unknown>>;
 
-/** What a value under the schema may not be: another type, no number that counts, or no word that is named. */
-function unfit(schema: Schema): fc.Arbitrary<unknown> {
+/** Values that the schema does not allow: of another type, out of range, or not in the list of values. */
+function invalidValue(schema: Schema): fc.Arbitrary<unknown> {
   const others = [fc.boolean(), fc.constant(null), fc.string(), fc.double(), fc.object()];
-  const fits = (value: unknown): boolean => typeOf(value) === schema.type;
-  const ofOtherType = fc.oneof(...others).filter((value) => !fits(value));
-  return fc.oneof(ofOtherType, ...(unfitByType[String(schema.type)]?.(schema) ?? []));
+  const isOfType = (value: unknown): boolean => typeOf(value) === schema.type;
+  const ofOtherType = fc.oneof(...others).filter((value) => !isOfType(value));
+  return fc.oneof(ofOtherType, ...(invalidByType[String(schema.type)]?.(schema) ?? []));
 }
 
 function typeOf(value: unknown): string {
@@ -50,32 +50,36 @@
   return Array.isArray(value) ? 'array' : typeof value;
 }
 
-const unfitNumbers = [fc.double({ max: -0.5, noNaN: true }), fc.constant(1e300), fc.constant('1')];
+const invalidNumbers = [
+  fc.double({ max: -0.5, noNaN: true }),
+  fc.constant(1e300),
+  fc.constant('1'),
+];
 
-const unfitByType: Readonly<Record<string, (schema: Schema) => fc.Arbitrary<unknown>[]>> = {
-  integer: () => [...unfitNumbers, fc.constant(0.5)],
-  number: () => unfitNumbers,
+const invalidByType: Readonly<Record<string, (schema: Schema) => fc.Arbitrary<unknown>[]>> = {
+  integer: () => [...invalidNumbers, fc.constant(0.5)],
+  number: () => invalidNumbers,
   array: () => [fc.array(fc.integer(), { minLength: 1 })],
-  string: ({ enum: words }) => [fc.constant(''), ...(words ? [fc.constant('open')] : [])],
+  string: ({ enum: allowed }) => [fc.constant(''), ...(allowed ? [fc.constant('open')] : [])],
 };
 
 const { properties, required } = wireSchema.heartbeat;
 
-/** The heartbeat with one of its fields away or unfit. */
-const spoilt = fc.constantFrom(...Object.keys(properties)).chain((name) => {
+/** The heartbeat with one field missing or invalid. */
+const invalidHeartbeat = fc.constantFrom(...Object.keys(properties)).chain((name) => {
   const schema = properties[name as keyof typeof properties] as Schema;
   const isRequired = (required as readonly string[]).includes(name);
-  const away = isRequired ? [fc.constant(undefined)] : [];
+  const missing = isRequired ? [fc.constant(undefined)] : [];
   return fc
-    .oneof(unfit(schema), ...away)
+    .oneof(invalidValue(schema), ...missing)
     .filter((value) => schema.type !== 'number' || typeof value !== 'number' || !(value >= 0))
     .map((value) => ({ ...heartbeat, [name]: value }));
 });
 
-test('a heartbeat with a field away or unfit is answered with its place, and changes nothing', async () => {
+test('a heartbeat with a missing or invalid field is refused with a reason and changes nothing', async () => {
   const { host, send, close } = await open();
   const before = host.current?.heartbeat;
-  const property = fc.asyncProperty(spoilt, async (body) => {
+  const property = fc.asyncProperty(invalidHeartbeat, async (body) => {
     const { status, body: answer } = await send(JSON.stringify(body));
     expect([status, typeof answer.error, host.current?.heartbeat]).toEqual([400, 'string', before]);
   });
@@ -84,7 +88,7 @@
   expect([host.isAccepting, host.ignoredHeartbeats.byCause.get('unreadable')]).toEqual([true, 400]);
 });
 
-test('bytes that are no text name no backend server', async () => {
+test('a heartbeat that is not valid UTF-8 is refused', async () => {
   const { host, send, close } = await open();
   const before = host.current?.heartbeat;
   const text = Buffer.from(JSON.stringify({ ...heartbeat, service: 'booking~' }), 'latin1');
@@ -98,16 +102,18 @@
   expect([status, host.current?.heartbeat]).toEqual([400, before]);
 });
 
-test('a heartbeat tells when its life started, and so may the word that it leaves', async () => {
+test('a heartbeat states the start of its incarnation, and a leave notice may', async () => {
   const { runCase, host, send, close } = await open();
-  const heard = await send(JSON.stringify({ ...heartbeat, seq: 41 }));
+  const response = await send(JSON.stringify({ ...heartbeat, seq: 41 }));
   await send(JSON.stringify({ born: BORN - 1 }), 'DELETE');
-  const isStaying = host.isAccepting;
+  const isAcceptingBefore = host.isAccepting;
   await send('', 'DELETE');
   close();
   await runCase.timer.advance(10);
-  expect([heard.status, host.current?.heartbeat.born, isStaying, host.isAccepting]).toEqual([
-    ...[200, BORN],
-    ...[true, false],
-  ]);
+  expect([
+    response.status,
+    host.current?.heartbeat.born,
+    isAcceptingBefore,
+    host.isAccepting,
+  ]).toEqual([...[200, BORN], ...[true, false]]);
 });
--- a/test/usersPlatform/imports.test.ts
+++ b/test/usersPlatform/imports.test.ts
@@ -6,8 +6,8 @@
   .filter((file) => file.endsWith('.ts') && !file.startsWith('gen'))
   .map((file) => ({ file, text: readFileSync(path.join('src', file), 'utf8') }));
 
-/** Names of the users' platform that could only come from its pages. */
-const NAMES = [
+/** Names that are defined only by the interfaces of the platform. */
+const PLATFORM_NAMES = [
   ...[
     'run-start',
     'run-stop',
@@ -21,14 +21,14 @@
   ...['clock_ms', 'wait_ms', 'max_attempts', 'stretch_factor', 'MAGNOLIAKEEL_NODE_FILE'],
 ];
 
-test('the product does not import the folder of the platform', () => {
+test('src/ does not import from platform/', () => {
   const importing = sources.filter(({ text }) => /from '[^']*platform\//.test(text));
   expect(importing.map(({ file }) => file)).toEqual([]);
 });
 
-test('the product knows no name of the platform', () => {
-  const knowing = sources.flatMap(({ file, text }) =>
-    NAMES.filter((name) => text.includes(name)).map((name) => `${file}: ${name}`),
+test('src/ does not use names of the platform', () => {
+  const uses = sources.flatMap(({ file, text }) =>
+    PLATFORM_NAMES.filter((name) => text.includes(name)).map((name) => `${file}: ${name}`),
   );
-  expect(knowing).toEqual([]);
+  expect(uses).toEqual([]);
 });
--- a/test/usersPlatform/strangers.test.ts
+++ b/test/usersPlatform/malformedInput.test.ts
@@ -15,24 +15,24 @@
 };
 const job = { best_effort: true, spec: '', steps: [{ count: 2, cpu: 100, estimate_ms: 5 }] };
 
-/** The value with any of its parts replaced by anything. */
-function spoilt(value: unknown): fc.Arbitrary<unknown> {
+/** The value with any of its parts replaced by arbitrary values. */
+function corrupted(value: unknown): fc.Arbitrary<unknown> {
   const junk = fc.oneof(fc.anything(), fc.constant(undefined));
   if (typeof value !== 'object' || value === null) {
     return fc.oneof({ weight: 4, arbitrary: fc.constant(value) }, { weight: 1, arbitrary: junk });
   }
-  const whole = Array.isArray(value)
-    ? fc.tuple(...value.map(spoilt))
+  const container = Array.isArray(value)
+    ? fc.tuple(...value.map(corrupted))
     : fc.record(
-        Object.fromEntries(Object.entries(value).map(([key, part]) => [key, spoilt(part)])),
+        Object.fromEntries(Object.entries(value).map(([key, part]) => [key, corrupted(part)])),
       );
-  return fc.oneof({ weight: 12, arbitrary: whole }, { weight: 1, arbitrary: junk });
+  return fc.oneof({ weight: 12, arbitrary: container }, { weight: 1, arbitrary: junk });
 }
 
-const runs = { numRuns: 2_000, seed: 7 };
+const fuzzOptions = { numRuns: 2_000, seed: 7 };
 
-test('whatever a heartbeat holds, it is refused or names a backend server with room in numbers', () => {
-  const property = fc.property(spoilt(heartbeat), (body) => {
+test('a heartbeat with any content is refused or yields valid numbers and strings', () => {
+  const property = fc.property(corrupted(heartbeat), (body) => {
     readHeartbeat('i-1', body).match(
       ({ capacity, address, clockMs, sequence, born = 0, labels }) => {
         const numbers = [
@@ -49,22 +49,22 @@
       (reason) => expect(reason).toMatch(/: /),
     );
   });
-  fc.assert(property, runs);
+  fc.assert(property, fuzzOptions);
 });
 
-test('whatever the store holds as configuration, it is refused or its queues are whole', () => {
-  const property = fc.property(spoilt(configuration), fc.string(), (body, cut) => {
-    const text = JSON.stringify(body) ?? cut;
+test('a configuration with any content is refused or yields a queue table with a version', () => {
+  const property = fc.property(corrupted(configuration), fc.string(), (body, fallback) => {
+    const text = JSON.stringify(body) ?? fallback;
     readConfiguration(text).match(
       (table) => expect(table.version).toBeGreaterThan(0),
       (reason) => expect(reason).toMatch(/: /),
     );
   });
-  fc.assert(property, runs);
+  fc.assert(property, fuzzOptions);
 });
 
-test('whatever a job holds, it is refused or its steps have numbers', () => {
-  const property = fc.property(spoilt(job), (body) => {
+test('a job with any content is refused or yields steps with valid numbers', () => {
+  const property = fc.property(corrupted(job), (body) => {
     const read = readSubmission(body);
     if (read.kind !== 'batch') return;
     const numbers = read.steps.flatMap(({ count, needs, estimateMs }) => [
@@ -74,5 +74,5 @@
     ]);
     expect(numbers.every((number) => Number.isFinite(number) && number >= 0)).toBe(true);
   });
-  fc.assert(property, runs);
+  fc.assert(property, fuzzOptions);
 });
--- a/test/usersPlatform/processEnds.test.ts
+++ b/test/usersPlatform/processEnds.test.ts
@@ -6,15 +6,15 @@
 import path from 'node:path';
 import { afterAll, beforeAll, expect, onTestFinished, test, vi } from 'vitest';
 import freePort from '../support/freePort';
-import HttpStandIn from '../support/HttpStandIn';
-import StandInSidecar from '../support/StandInSidecar';
+import FakeHttpServer from '../support/FakeHttpServer';
+import FakeSidecar from '../support/FakeSidecar';
 
-// Two entries once ended by themselves at the same moment, each with all the requests that it held. The
-// last of their own lines, "a batch is accepted" and the like, told nothing of it; only Node's text on
-// standard error, "Unhandled 'error' event ... PING timed out", showed that a session had failed
-// whose listener was gone, and nothing showed how many requests went with it.
+// Guards against processes that end without a log line that says why. Two entries ended on their own at the same
+// moment, with all their open requests. Their last log lines, such as "a batch is accepted", did not show why; only
+// Node's text on standard error, "Unhandled 'error' event ... PING timed out", showed that a session without
+// an error listener had failed, and nothing showed how many requests were lost.
 
-// Building and starting takes seconds beside other busy processes.
+// Building and starting takes seconds on a busy machine.
 vi.setConfig({ testTimeout: 60_000, hookTimeout: 60_000 });
 
 let folder: string;
@@ -28,30 +28,34 @@
 
 afterAll(() => rmSync(folder, { recursive: true }));
 
-type Fault = readonly [kind: 'throw' | 'reject', times: number];
+type InjectedFault = readonly [kind: 'throw' | 'reject', times: number];
 
-interface Started {
+interface StartedProcess {
   readonly child: ChildProcess;
   readonly metrics: string;
-  /** The lines written until now. */
+  /** Log lines written so far. */
   readonly lines: () => readonly Readonly<Record<string, unknown>>[];
   readonly ended: Promise<number | null>;
 }
 
-/** Starts a role in which errors may come that reach nobody. */
+/** Starts a role in which SIGUSR2 causes these uncaught errors. */
 function startRole(
   role: string,
   settings: object,
-  faults: readonly Fault[],
-): Omit<Started, 'metrics'> {
+  faults: readonly InjectedFault[],
+): Omit<StartedProcess, 'metrics'> {
   lastFile += 1;
   const file = path.join(folder, `${role}-${lastFile}.yaml`);
   writeFileSync(file, JSON.stringify(settings));
-  return startFrom(role, file, faults);
+  return startWithFile(role, file, faults);
 }
 
-/** Starts a role that reads its settings from a file. */
-function startFrom(role: string, file: string, faults: readonly Fault[]): Omit<Started, 'metrics'> {
+/** Starts a role with this settings file. */
+function startWithFile(
+  role: string,
+  file: string,
+  faults: readonly InjectedFault[],
+): Omit<StartedProcess, 'metrics'> {
   const env = { ...process.env, MAGNOLIAKEEL_NODE_FILE: file, FAULTS: JSON.stringify(faults) };
   const args = ['--import', path.resolve('test/support/faulty.mjs')];
   const child = spawn(process.execPath, [...args, path.join(folder, `${role}.cjs`)], { env });
@@ -73,38 +77,43 @@
   return { child, lines, ended };
 }
 
-/** Settings of a sidecar; `taken` is an address that is not to be had. */
-async function sidecarSettings(taken?: string) {
+/** Settings of a sidecar; `usedAddress` is an address that is already in use. */
+async function sidecarSettings(usedAddress?: string) {
   const [backend, metrics, store] = await Promise.all([freePort(), freePort(), freePort()]);
   return {
     ...{ cluster: 'c', instance: 's1', zone: 'z', seeds: [], peerPort: 7_100 },
-    listen: { backend: taken ?? `127.0.0.1:${backend}`, metrics: `127.0.0.1:${metrics}` },
+    listen: { backend: usedAddress ?? `127.0.0.1:${backend}`, metrics: `127.0.0.1:${metrics}` },
     store: { address: `127.0.0.1:${store}` },
   };
 }
 
-/** Starts a sidecar in which errors may come that reach nobody. */
-async function start(faults: readonly Fault[], taken?: string): Promise<Started> {
-  const settings = await sidecarSettings(taken);
+/** Starts a sidecar in which SIGUSR2 causes these uncaught errors. */
+async function startSidecar(
+  faults: readonly InjectedFault[],
+  usedAddress?: string,
+): Promise<StartedProcess> {
+  const settings = await sidecarSettings(usedAddress);
   const started = startRole('sidecar', settings, faults);
   return { ...started, metrics: `http://${settings.listen.metrics}/metrics` };
 }
 
-/** A sidecar that has started, in which these errors come now. */
-async function failing(faults: readonly Fault[]): Promise<Started> {
-  const started = await start(faults);
+/** Starts a sidecar and then causes these uncaught errors in it. */
+async function startFaultySidecar(faults: readonly InjectedFault[]): Promise<StartedProcess> {
+  const started = await startSidecar(faults);
   await lineOf(started, 'the sidecar has started');
   started.child.kill('SIGUSR2');
   return started;
 }
 
-/** Starts an entry with a queue, and a sidecar that runs what it orders. */
-async function startEntry(faults: readonly Fault[]) {
+/** Starts an entry with a queue, and a fake sidecar that accepts its start requests. */
+async function startEntry(faults: readonly InjectedFault[]) {
   const route = { name: 'q', host: '127.0.0.1', prefix: '/q/', service: 's' };
   const value = Buffer.from(JSON.stringify({ version: 1, routes: [route] })).toString('base64');
-  const store = await HttpStandIn.open(({ path: called }) => {
-    if (called.includes('kv-watch')) return 'silence';
-    const items = called.includes('prefix=op') ? [{ key: 'op/config', value, revision: 1 }] : [];
+  const store = await FakeHttpServer.open(({ path: requestPath }) => {
+    if (requestPath.includes('kv-watch')) return 'silence';
+    const items = requestPath.includes('prefix=op')
+      ? [{ key: 'op/config', value, revision: 1 }]
+      : [];
     return { status: 200, body: { items, at: 1, lease_id: 1, revision: 1 } };
   });
   const ports = await Promise.all([freePort(), freePort(), freePort(), freePort()]);
@@ -115,7 +124,7 @@
   };
   const entry = { ...startRole('entry', settings, faults), metrics: '' };
   await lineOf(entry, 'a configuration is in force');
-  const sidecar = await StandInSidecar.linkTo(peers!);
+  const sidecar = await FakeSidecar.linkTo(peers!);
   onTestFinished(async () => {
     sidecar.close();
     await store.close();
@@ -130,8 +139,8 @@
   return { entry, sidecar, submit };
 }
 
-/** The first line with this message, once it is written. */
-function lineOf({ lines }: Started, message: string) {
+/** Waits for the first log line with this message. */
+function lineOf({ lines }: StartedProcess, message: string) {
   return vi.waitFor(() => {
     const line = lines().find((each) => JSON.stringify(each).includes(message));
     if (!line) throw new Error(`no "${message}" in ${JSON.stringify(lines())}`);
@@ -139,10 +148,13 @@
   }, 10_000);
 }
 
-test('an error that reaches nobody is written with its stack, its cause and what the process holds', async () => {
-  const { error, uptimeMs, ...line } = await lineOf(await failing([['throw', 1]]), FAULT);
-  const { stack, cause, ...told } = error as Record<string, unknown>;
-  expect([line.level, line.origin, line.holds, told]).toMatchInlineSnapshot(`
+test('an uncaught error is logged with its stack, its cause and the counts of open objects', async () => {
+  const { error, uptimeMs, ...line } = await lineOf(
+    await startFaultySidecar([['throw', 1]]),
+    UNCAUGHT_ERROR_MESSAGE,
+  );
+  const { stack, cause, ...errorFields } = error as Record<string, unknown>;
+  expect([line.level, line.origin, line.holds, errorFields]).toMatchInlineSnapshot(`
     [
       "error",
       "uncaughtException",
@@ -163,19 +175,19 @@
   ]);
 });
 
-test('a process tells why it ends', async () => {
-  const stopped = await start([]);
+test('a process logs why it ends', async () => {
+  const stopped = await startSidecar([]);
   await lineOf(stopped, 'the sidecar has started');
   stopped.child.kill('SIGTERM');
-  const holder = createServer().listen(0, '127.0.0.1');
+  const blocker = createServer().listen(0, '127.0.0.1');
   onTestFinished(() => {
-    holder.close();
+    blocker.close();
   });
   await new Promise((resolve) => {
-    holder.once('listening', resolve);
+    blocker.once('listening', resolve);
   });
-  const { port } = holder.address() as { port: number };
-  const refused = await start([], `127.0.0.1:${port}`);
+  const { port } = blocker.address() as { port: number };
+  const refused = await startSidecar([], `127.0.0.1:${port}`);
   const ends = [stopped, refused].map(async (started) => {
     const code = await started.ended;
     const { reason, exitCode } = started.lines().at(-1)!;
@@ -197,8 +209,8 @@
   `);
 });
 
-test('a process serves on after an error in a timer and one in a promise', async () => {
-  const started = await failing([
+test('a process keeps serving after an uncaught error in a timer and one in a promise', async () => {
+  const started = await startFaultySidecar([
     ['throw', 1],
     ['reject', 1],
   ]);
@@ -215,7 +227,7 @@
   expect(started.child.exitCode).toBe(null);
 });
 
-test('errors that go on make an entry leave, and what it has taken is answered', async () => {
+test('an entry with repeated uncaught errors shuts down gracefully and answers its open batches', async () => {
   const { entry, sidecar, submit } = await startEntry([['throw', 160]]);
   const answer = submit();
   await lineOf(entry, 'starts are ordered');
@@ -239,28 +251,28 @@
     `);
 });
 
-// A sidecar that was told to read its settings again 237 ms after its start ended by that signal: nothing
-// listened for it before the settings had been read for the first time. The settings come through a pipe
-// here, so that the process is held where it reads them.
-test('a process that is told to read its settings while it starts does so once it has started', async () => {
+// A sidecar that got SIGHUP 237 ms after its start was ended by the signal: there was no listener for it until
+// the settings had been read for the first time. The settings come through a pipe here, so that the process
+// blocks while it reads them.
+test('a process that gets SIGHUP while it starts reloads its settings once it has started', async () => {
   const settings = JSON.stringify(await sidecarSettings());
   const [pipe, changed] = ['settings.pipe', 'settings.yaml'].map((name) => path.join(folder, name));
   writeFileSync(changed!, settings);
   execFileSync('mkfifo', [pipe!]);
-  const started = startFrom('sidecar', pipe!, []);
-  const first = await open(pipe!, 'w');
+  const started = startWithFile('sidecar', pipe!, []);
+  const pipeWriter = await open(pipe!, 'w');
   started.child.kill('SIGHUP');
-  await first.writeFile(settings);
-  // What is read next, under the same name, is the file; the process still reads from the pipe.
+  await pipeWriter.writeFile(settings);
+  // The next read opens the file under the same name; the current one still reads from the pipe.
   await rename(changed!, pipe!);
-  await first.close();
+  await pipeWriter.close();
   await lineOf({ ...started, metrics: '' }, 'the settings were read again');
   expect(started.child.exitCode).toBe(null);
 });
 
-// Stops came in series: an entry that was leaving got a second SIGTERM, for which nothing listened any more,
-// and ended by it with what it still held.
-test('an entry that is asked to stop twice answers what it has taken', async () => {
+// A process may get SIGTERM several times: an entry that was shutting down got a second one, for which there was
+// no listener any more, and was ended by it with batches still open.
+test('an entry that gets SIGTERM twice answers its open batches', async () => {
   const { entry, sidecar, submit } = await startEntry([]);
   const answer = submit();
   await lineOf(entry, 'starts are ordered');
@@ -276,4 +288,4 @@
   });
 });
 
-const FAULT = 'an error reached nobody';
+const UNCAUGHT_ERROR_MESSAGE = 'an error reached nobody';
