--- a/test/usersPlatform/CallerServer.test.ts
+++ b/test/usersPlatform/BatchCallerServer.test.ts
@@ -1,7 +1,7 @@
 import { request } from 'node:http';
 import { connect, type Socket } from 'node:net';
 import { expect, test } from 'vitest';
-import CallerServer from '../../platform/CallerServer';
+import BatchCallerServer from '../../platform/BatchCallerServer';
 import type BatchEntry from '../../src/batches/BatchEntry';
 import BatchCase from '../support/BatchCase';
 
@@ -20,10 +20,10 @@
 /** Sends requests to the caller server of a simulated entry with two sidecars; returns the responses. */
 async function answersTo(
   requests: readonly TestRequest[],
-  prepare?: (server: CallerServer) => void,
+  prepare?: (server: BatchCallerServer) => void,
 ) {
   const batchCase = await BatchCase.open({ entries: 1 });
-  const server = CallerServer.create(batchCase.entries[0]!, log);
+  const server = BatchCallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
   prepare?.(server);
   const answers = [];
@@ -106,7 +106,7 @@
 
 test('a cancelled job is answered as cancelled, so that the caller does not resubmit it', async () => {
   const batchCase = await BatchCase.open({ entries: 1 });
-  const server = CallerServer.create(batchCase.entries[0]!, log);
+  const server = BatchCallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
   const answer = send(server.port, { body: { ...job, spec: '5000' } });
   while (batchCase.running.length === 0) await batchCase.timer.advance(20);
@@ -128,7 +128,7 @@
 async function answerBeforeConfiguration(afterMs: number, startedMsAgo = 0): Promise<string> {
   const batchCase = await BatchCase.open({ entries: 1, configured: false });
   await batchCase.timer.advance(startedMsAgo);
-  const server = CallerServer.create(batchCase.entries[0]!, log);
+  const server = BatchCallerServer.create(batchCase.entries[0]!, log);
   await server.listen('127.0.0.1:0');
   let answer: string | undefined;
   send(server.port, { body: job }).then((text) => {
@@ -166,7 +166,7 @@
     while (batchCase.running.length === 0) await batchCase.timer.advance(20);
     throw new Error('a fault');
   };
-  const server = CallerServer.create(Object.create(real, { submit: { value: submit } }), log);
+  const server = BatchCallerServer.create(Object.create(real, { submit: { value: submit } }), log);
   await server.listen('127.0.0.1:0');
   const answer = await send(server.port, { body: { ...job, spec: '5000' } });
   await batchCase.timer.advance(500);
@@ -178,7 +178,7 @@
 });
 
 /** The fields logged when a connection ends during its second request, and what then still runs. */
-async function logOfDisconnect(end: (caller: Socket, server: CallerServer) => void) {
+async function logOfDisconnect(end: (caller: Socket, server: BatchCallerServer) => void) {
   const logged: unknown[] = [];
   const batchCase = await BatchCase.open({ entries: 1 });
   const recordingLog = {
@@ -187,7 +187,7 @@
       message.startsWith('a caller is gone') &&
       logged.push({ ...fields, isTimed: Number(afterMs) > 0 }),
   };
-  const server = CallerServer.create(batchCase.entries[0]!, recordingLog);
+  const server = BatchCallerServer.create(batchCase.entries[0]!, recordingLog);
   await server.listen('127.0.0.1:0');
   const body = JSON.stringify({ ...job, spec: '5000' });
   const head = `POST /q/${ID} HTTP/1.1\r\nhost: h\r\ncontent-length: ${body.length}\r\n\r\n`;
@@ -263,7 +263,7 @@
     return { kind: 'completed' };
   };
   const entry = Object.create(batchCase.entries[0]!, { submit: { value: submit } });
-  const server = CallerServer.create(entry, log);
+  const server = BatchCallerServer.create(entry, log);
   await server.listen('127.0.0.1:0');
   await send(server.port, { body: job, waitMs: 1e11 });
   server.close();
