--- a/src/callers/CallerServer.ts
+++ b/src/callers/CallerServer.ts
@@ -206,7 +206,7 @@
   }
 
   private refuse(res: http.ServerResponse, error: RequestError): void {
-    // The client need not send a body that it was not told to send: a next request would be read as that body.
+    // A client that got no 100 Continue may omit its body; its next request could then not be told from the body.
     if (expectsContinue(res.req) && !res.req.complete) res.setHeader('Connection', 'close');
     const { random } = this.options;
     const isTemporary = error.outcome !== undefined;
@@ -220,7 +220,7 @@
     return { ...answer, retryAfterMs };
   }
 
-  /** Refuses input that Node can't parse, unless the refusal could pass for the response to another request. */
+  /** Refuses input that Node can't parse, unless the refusal could be taken for another response. */
   private handleClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
     const res = this.responses.get(socket);
     const isBetweenRequests = !res || (res.writableFinished && res.req.complete);
--- a/src/callers/RequestFindings.ts
+++ b/src/callers/RequestFindings.ts
@@ -19,7 +19,7 @@
     return this.count === 0;
   }
 
-  /** Adds an error; beyond a limit they are only counted. */
+  /** Adds an error; beyond a limit, errors are only counted. */
   add(place: string, reason: string): void {
     this.count += 1;
     if (this.listed.length < MAX_LISTED) this.listed.push({ place, reason });
