--- a/src/observe/LineSink.ts
+++ b/src/observe/LineSink.ts
@@ -1,7 +1,7 @@
 import { errAsync, okAsync, type ResultAsync } from 'neverthrow';
 import type SpanSink from './SpanSink';
 
-/** Writes each batch of spans as one line to a stream; a stream that is behind takes none. */
+/** Writes each batch of spans as one line to a stream; fails while the stream's buffer is full. */
 export default class LineSink implements SpanSink {
   private constructor(private readonly stream: NodeJS.WriteStream) {}
 
@@ -11,7 +11,7 @@
   }
 
   take(batch: Uint8Array): ResultAsync<void, string> {
-    if (this.stream.writableNeedDrain) return errAsync('the stream is behind');
+    if (this.stream.writableNeedDrain) return errAsync('the buffer of the output stream is full');
     this.stream.write(`${Buffer.from(batch).toString()}\n`);
     return okAsync();
   }
--- a/src/observe/Span.ts
+++ b/src/observe/Span.ts
@@ -5,20 +5,20 @@
   SpanStatusCode,
 } from '@opentelemetry/api';
 
-/** Parts that a span has from its beginning. Times are wall-clock milliseconds with fractions. */
-interface Beginning {
+/** Properties that a span has from its start. Times are wall-clock milliseconds with fractions. */
+interface SpanOptions {
   readonly name: string;
   readonly kind: SpanKind;
   readonly context: SpanContext;
-  /** The span that this one is part of; undefined for the first of a trace. */
+  /** The parent span; undefined for the root of a trace. */
   readonly parent: SpanContext | undefined;
   readonly startMs: number;
-  /** Takes the span once it has ended, with the time of its end. */
+  /** Called with the span once it has ended and its end time is set. */
   readonly ended: (span: Span) => void;
   readonly now: () => number;
 }
 
-/** One hop of a traced request while it is under way. */
+/** One hop of a traced request. */
 export default class Span {
   readonly attributes: Attributes = {};
 
@@ -26,45 +26,45 @@
 
   endMs = 0;
 
-  private constructor(private readonly beginning: Beginning) {}
+  private constructor(private readonly options: SpanOptions) {}
 
-  /** Begins a span. */
-  static begin(beginning: Beginning): Span {
-    return new Span(beginning);
+  /** Starts a span. */
+  static begin(options: SpanOptions): Span {
+    return new Span(options);
   }
 
   get name(): string {
-    return this.beginning.name;
+    return this.options.name;
   }
 
   get kind(): SpanKind {
-    return this.beginning.kind;
+    return this.options.kind;
   }
 
   get context(): SpanContext {
-    return this.beginning.context;
+    return this.options.context;
   }
 
   get parent(): SpanContext | undefined {
-    return this.beginning.parent;
+    return this.options.parent;
   }
 
   get startMs(): number {
-    return this.beginning.startMs;
+    return this.options.startMs;
   }
 
-  /** What makes spans of the next process, or of the next hop, parts of this one. */
+  /** The `traceparent` value that makes spans of the next process or hop children of this one. */
   get traceparent(): string {
     const { traceId, spanId } = this.context;
     return `00-${traceId}-${spanId}-01`;
   }
 
-  /** The state that traces give a span. */
+  /** The status code for the export. */
   get status(): SpanStatusCode {
     return this.failure === undefined ? SpanStatusCode.UNSET : SpanStatusCode.ERROR;
   }
 
-  /** Adds to what the span tells of its hop. Names get the prefix `magnoliakeel.`. */
+  /** Sets attributes of the span. Names get the prefix `magnoliakeel.`. */
   set(attributes: Readonly<Record<string, string | number | boolean>>): this {
     Object.entries(attributes).forEach(([name, value]) => {
       this.attributes[`magnoliakeel.${name}`] = value;
@@ -78,10 +78,10 @@
     return this;
   }
 
-  /** Ends the span and hands it over; later calls do nothing. */
+  /** Ends the span and passes it on for export; later calls do nothing. */
   end(): void {
     if (this.endMs > 0) return;
-    this.endMs = Math.max(this.beginning.now(), this.startMs);
-    this.beginning.ended(this);
+    this.endMs = Math.max(this.options.now(), this.startMs);
+    this.options.ended(this);
   }
 }
--- a/src/observe/SpanSink.ts
+++ b/src/observe/SpanSink.ts
@@ -1,7 +1,7 @@
 import type { ResultAsync } from 'neverthrow';
 
-/** Where exported spans go. */
+/** A destination of exported spans. */
 export default interface SpanSink {
-  /** Takes a batch as the JSON text of an OTLP export request. The error says why it could not. */
+  /** Exports a batch, given as the JSON text of an OTLP export request. The error is the reason of a failure. */
   take(batch: Uint8Array): ResultAsync<void, string>;
 }
--- a/src/observe/Tracer.ts
+++ b/src/observe/Tracer.ts
@@ -5,29 +5,29 @@
 import type TimerService from '../core/TimerService';
 import Span from './Span';
 
-/** What a tracer is made of. */
+/** Dependencies of a tracer. */
 interface TracerOptions {
   readonly timer: TimerService;
   readonly random: Random;
-  /** Unique for each run of the process, so that no two processes make the same ids. */
+  /** Unique for each run of the process, so that no two processes generate the same ids. */
   readonly incarnation: string;
-  /** Share of the requests that are traced although their caller said nothing of a trace. */
+  /** Share of the requests without a `traceparent` that are traced, from 0 to 1. */
   readonly sample: number;
-  /** Takes spans that have ended. */
+  /** Called with each span that has ended. */
   readonly ended: (span: Span) => void;
 }
 
 /**
- * Begins the spans of a process. A request is traced when its caller's `traceparent` says so; one
- * whose `traceparent` says no is not; of those without one, the share of the settings is.
+ * Starts the spans of a process. Whether a request is traced follows the sampled flag of its caller's
+ * `traceparent`; of the requests without one, the share given in the settings is traced.
  */
 export default class Tracer {
   private readonly salt: number;
 
-  /** Wall-clock time minus monotonic time, as of `anchoredAt`. */
-  private anchor = 0;
+  /** Wall-clock time minus monotonic time, as of `offsetReadAt`, ms. */
+  private clockOffsetMs = 0;
 
-  private anchoredAt = Number.NEGATIVE_INFINITY;
+  private offsetReadAt = Number.NEGATIVE_INFINITY;
 
   private constructor(private readonly options: TracerOptions) {
     this.salt = murmurhash.v3(options.incarnation);
@@ -38,7 +38,7 @@
     return new Tracer(options);
   }
 
-  /** Begins the span of a caller's request; undefined when it is not traced. */
+  /** Starts the span of a caller's request; undefined when it is not traced. */
   request(name: string, traceparent: string): Span | undefined {
     const parent = parentOf(traceparent);
     if (parent) return isSampled(parent) ? this.begin(name, SpanKind.SERVER, parent) : undefined;
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Begins the span of a further hop; undefined when the request is not traced.
-   * @param startedAt when the hop began, by the timer service; now, when it is left out
+   * Starts the span of a further hop; undefined when the request is not traced.
+   * @param startedAt when the hop began, in the timer service's monotonic time; now by default
    */
   hop(name: string, kind: SpanKind, traceparent: string, startedAt?: number): Span | undefined {
     if (traceparent === '') return undefined;
@@ -64,8 +64,8 @@
     startedAt = this.options.timer.now(),
   ): Span {
     const context = {
-      traceId: parent?.traceId ?? this.newId(TRACE_WORDS),
-      spanId: this.newId(SPAN_WORDS),
+      traceId: parent?.traceId ?? this.newId(TRACE_ID_WORDS),
+      spanId: this.newId(SPAN_ID_WORDS),
       traceFlags: TraceFlags.SAMPLED,
     };
     return Span.begin({
@@ -73,28 +73,28 @@
       kind,
       context,
       parent,
-      startMs: this.wallAt(startedAt),
+      startMs: this.wallTimeOf(startedAt),
       ended: this.options.ended,
-      now: () => this.wallAt(this.options.timer.now()),
+      now: () => this.wallTimeOf(this.options.timer.now()),
     });
   }
 
   /** Wall-clock time with the resolution of the monotonic clock. */
-  private wallAt(at: number): number {
+  private wallTimeOf(at: number): number {
     const { timer } = this.options;
     const now = timer.now();
-    if (now - this.anchoredAt > ANCHOR_MS) {
-      this.anchor = timer.wall() - now;
-      this.anchoredAt = now;
+    if (now - this.offsetReadAt > CLOCK_OFFSET_MAX_AGE_MS) {
+      this.clockOffsetMs = timer.wall() - now;
+      this.offsetReadAt = now;
     }
-    return at + this.anchor;
+    return at + this.clockOffsetMs;
   }
 
   private newId(words: number): string {
     let id = '';
     for (let word = 0; word < words; word += 1) {
-      const bits = Math.floor(this.options.random.unit() * WORD_LIMIT);
-      // Id words of all zeroes are not allowed as a whole; setting one bit rules that out.
+      const bits = Math.floor(this.options.random.unit() * WORD_VALUES);
+      // An id of all zeroes is invalid; one bit that is always set rules that out.
       const mixed = ((bits ^ this.salt) | 1) >>> 0; // eslint-disable-line no-bitwise
       id += mixed.toString(16).padStart(8, '0');
     }
@@ -102,12 +102,12 @@
   }
 }
 
-/** How long the difference of the two clocks is kept. */
-const ANCHOR_MS = 10_000;
+/** How long the offset between the two clocks is used before it is read again, ms. */
+const CLOCK_OFFSET_MAX_AGE_MS = 10_000;
 
-const TRACE_WORDS = 4;
-const SPAN_WORDS = 2;
-const WORD_LIMIT = 2 ** 32;
+const TRACE_ID_WORDS = 4;
+const SPAN_ID_WORDS = 2;
+const WORD_VALUES = 2 ** 32;
 
 function parentOf(traceparent: string): SpanContext | undefined {
   if (traceparent === '') return undefined;
--- a/src/observe/Traces.ts
+++ b/src/observe/Traces.ts
@@ -10,7 +10,7 @@
 import type SpanSink from './SpanSink';
 import Tracer from './Tracer';
 
-/** What the traces of a process are made of. */
+/** Dependencies of the tracing of a process. */
 interface TracesOptions {
   readonly timer: TimerService;
   readonly random: Random;
@@ -19,14 +19,14 @@
   readonly settings: Pick<Settings, 'cluster' | 'instance' | 'zone' | 'role' | 'traces'>;
 }
 
-/** The tracer of a process with the export of its spans. */
+/** The tracer of a process, together with the export of its spans. */
 export default class Traces {
   private constructor(
     readonly tracer: Tracer,
     private readonly buffer: SpanBuffer,
   ) {}
 
-  /** Creates what the settings ask for; undefined when spans would go nowhere. */
+  /** Creates the tracer and the export that the settings configure; undefined when they name no destination for spans. */
   static create(options: TracesOptions): Traces | undefined {
     const { timer, random, metrics, incarnation, settings } = options;
     const sink = sinkOf(settings.traces);
@@ -46,7 +46,7 @@
     return new Traces(tracer, buffer);
   }
 
-  /** Exports what is left, for a short time at most. */
+  /** Exports the remaining spans, for a short time at most. */
   close(): Promise<void> {
     return this.buffer.close();
   }
--- a/test/observe/SpanBuffer.test.ts
+++ b/test/observe/SpanBuffer.test.ts
@@ -18,7 +18,7 @@
   stuck: { take: () => new ResultAsync(never()) },
 } satisfies Record<string, SpanSink>;
 
-/** Ends a number of spans, closes the buffer and returns the counts of spans. */
+/** Ends a number of spans, closes the buffer and returns the span metrics. */
 async function exportSpans(sink: SpanSink, spans: number): Promise<string> {
   const timer = ManualTimer.create();
   const metrics = Metrics.create(timer, 'sidecar');
@@ -48,7 +48,7 @@
   `);
 });
 
-test('holds a fixed number of spans and closes although the export is stuck', async () => {
+test('holds a limited number of spans and closes although the export is stuck', async () => {
   expect(await exportSpans(sinks.stuck, 5000)).toMatchInlineSnapshot(`
     "magnoliakeel_spans_exported_total 0
     magnoliakeel_spans_dropped_total{cause="full"} 904"
--- a/test/observe/traces.test.ts
+++ b/test/observe/traces.test.ts
@@ -29,7 +29,7 @@
   `);
 });
 
-test('a job that waits shows why and how long', async () => {
+test('the span of a queued task shows why and how long it waited', async () => {
   const traceCase = await start();
   await traceCase.submit(3, `${CALLER}-01`);
   expect(traceCase.tree().split('\n').at(-3)).toMatchInlineSnapshot(
@@ -37,7 +37,7 @@
   );
 });
 
-test('a refused start shows the cause', async () => {
+test('the span of a refused start shows the cause', async () => {
   const traceCase = await start();
   traceCase.backend.error = { kind: 'unsent', reason: 'refused' };
   await traceCase.submit(1, `${CALLER}-01`);
@@ -50,27 +50,27 @@
   );
 });
 
-test('the backend server is told of its call', async () => {
+test('the backend server receives the traceparent of its call', async () => {
   const traceCase = await start();
   await traceCase.submit(1, `${CALLER}-01`);
   const [call] = traceCase.ids('call');
   expect(traceCase.called).toEqual([`00-${TRACE}-${call}-01`]);
 });
 
-test('a caller that asks for no trace gets none, whatever the share', async () => {
+test('a request whose caller asks for no trace is not traced, whatever the share', async () => {
   const traceCase = await start(1);
   await traceCase.submit(1, `${CALLER}-00`);
   expect(traceCase.tree()).toBe('no spans');
   expect(traceCase.called).toEqual([`${CALLER}-00`]);
 });
 
-test('a share of the requests without a trace gets one', async () => {
+test('the configured share of the requests without a traceparent is traced', async () => {
   const traceCase = await start(1);
   await traceCase.submit(1, '');
   expect(traceCase.tree()).toMatch(/^trace [0-9a-f]{32}: 5 spans of 3 processes/);
 });
 
-test('a malformed traceparent counts as none', async () => {
+test('a malformed traceparent is ignored', async () => {
   const traceCase = await start(0);
   await traceCase.submit(1, '00-nonsense');
   expect(traceCase.tree()).toBe('no spans');
--- a/test/support/TraceCase.ts
+++ b/test/support/TraceCase.ts
@@ -21,7 +21,7 @@
 import MemoryNetwork from './MemoryNetwork';
 import valueOf from './valueOf';
 
-/** Two entries and a sidecar whose spans are exported to text. */
+/** Two entries and a sidecar whose exported spans are collected as text. */
 export default class TraceCase {
   readonly timer = ManualTimer.create();
 
@@ -44,7 +44,7 @@
 
   private constructor(private readonly sample: number) {}
 
-  /** Starts the processes and lets them find one another. */
+  /** Starts the processes and lets them link. */
   static async start(sample = 0): Promise<TraceCase> {
     const traceCase = new TraceCase(sample);
     const manifest = { services: [SERVICE], teams: [], system: SYSTEM };
@@ -56,7 +56,7 @@
     return traceCase;
   }
 
-  /** Submits a job of tasks that take 100 ms to an entry that does not own it. */
+  /** Submits a job, whose tasks take 100 ms each, to an entry that does not own it. */
   async submit(tasks: number, traceparent: string): Promise<Answer> {
     const id = this.idOwnedBy('e2');
     const input = Buffer.from('{"ms":100}');
@@ -73,13 +73,13 @@
     return answer;
   }
 
-  /** The exported spans as `magnoliakeelctl trace` shows them; ids of spans are left out there. */
+  /** The exported spans as `magnoliakeelctl trace` prints them, which omits span ids. */
   tree(): string {
     const spans = readSpans(this.exported);
     return spans.length === 0 ? 'no spans' : renderTrace(traceRoots(spans));
   }
 
-  /** Ids of the spans with a name. */
+  /** Ids of the spans with the given name. */
   ids(name: string): string[] {
     const spans = readSpans(this.exported).filter((span) => span.name === name);
     return spans.map(({ spanId }) => spanId);
