--- a/src/observe/EntryMetrics.ts
+++ b/src/observe/EntryMetrics.ts
@@ -2,13 +2,13 @@
 import enumLabels from './enumLabels';
 import type Metrics from './Metrics';
 
-/** What the parts of an entry tell of their work, counted by the table of metrics. */
+/** Counts the events that the parts of an entry report, in the metrics of the table. */
 export default class EntryMetrics {
   private view: View | undefined;
 
   private constructor(private readonly metrics: Metrics) {}
 
-  /** Creates the hooks that count into the metrics. */
+  /** Creates hooks that update the given metrics. */
   static of(metrics: Metrics): EntryMetrics {
     return new EntryMetrics(metrics);
   }
@@ -29,7 +29,7 @@
     this.metrics.record('queue_wait_seconds', waitedMs / 1000, service);
   }
 
-  /** A task has its result. */
+  /** A task has ended with a result. */
   taskSettled(service: string, status: TaskStatus, responseMs: number, runMs: number): void {
     this.metrics.add('tasks_settled_total', 1, service, statuses[status]);
     if (status !== TaskStatus.COMPLETED) return;
@@ -46,7 +46,7 @@
     this.wasted(`refused_${refusals[cause]}`);
   }
 
-  /** A message was without use. */
+  /** Messages had no effect. */
   wasted(cause: string, messages = 1): void {
     this.metrics.add('wasted_messages_total', messages, cause);
   }
@@ -66,17 +66,17 @@
     this.metrics.add('credits_lent_total', credits, service);
   }
 
-  /** It was found out what is known of a job without a record here. */
+  /** The state of a job without a record here was recovered. */
   jobResolved(provenance: string): void {
     this.metrics.add('provenances_total', 1, provenance);
   }
 
-  /** A linked process fell silent. */
+  /** A linked process became unresponsive. */
   suspected(peer: 'entry' | 'sidecar'): void {
     this.metrics.add('suspicions_total', 1, peer);
   }
 
-  /** A newer view is known. */
+  /** A newer view was received. */
   viewChanged(view: View): void {
     const present = new Set(view.members.map(({ incarnation }) => incarnation));
     const gone = (this.view?.members ?? []).filter(({ incarnation }) => !present.has(incarnation));
--- a/src/observe/MeteredLink.ts
+++ b/src/observe/MeteredLink.ts
@@ -14,7 +14,7 @@
     this.role = link.peer.role === Role.SIDECAR ? 'sidecar' : 'entry';
   }
 
-  /** Counts what passes over a link. */
+  /** Wraps a link so that its messages are counted. */
   static over(link: Link, metrics: Metrics): Link {
     return new MeteredLink(link, metrics);
   }
--- a/src/observe/MeteredNetwork.ts
+++ b/src/observe/MeteredNetwork.ts
@@ -20,7 +20,7 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Counts what passes over a network. */
+  /** Wraps a network so that its messages and calls are counted. */
   static over(network: Network, metrics: Metrics): Network {
     return new MeteredNetwork(network, metrics);
   }
@@ -30,40 +30,40 @@
   }
 
   forward(address: string, req: ForwardRequest, signal: AbortSignal) {
-    this.sent('forward');
+    this.countSent('forward');
     return this.network.forward(address, req, signal);
   }
 
   claim(address: string, req: ClaimRequest) {
-    this.sent('claim');
+    this.countSent('claim');
     return this.network.claim(address, req);
   }
 
   handover(address: string, req: HandoverRequest) {
-    this.sent('handover');
+    this.countSent('handover');
     return this.network.handover(address, req);
   }
 
   inspect(address: string, req: InspectRequest) {
-    this.sent('inspect');
+    this.countSent('inspect');
     return this.network.inspect(address, req);
   }
 
   listen(address: string, hello: () => Hello, handlers: PeerHandlers) {
     return this.network.listen(address, hello, {
       link: (link) => handlers.link(MeteredLink.over(link, this.metrics)),
-      forward: (req) => this.received('forward', handlers.forward(req)),
-      claim: (req) => this.received('claim', handlers.claim(req)),
-      handover: (req) => this.received('handover', handlers.handover(req)),
-      inspect: (req) => this.received('inspect', handlers.inspect(req)),
+      forward: (req) => this.countReceived('forward', handlers.forward(req)),
+      claim: (req) => this.countReceived('claim', handlers.claim(req)),
+      handover: (req) => this.countReceived('handover', handlers.handover(req)),
+      inspect: (req) => this.countReceived('inspect', handlers.inspect(req)),
     });
   }
 
-  private sent(call: string): void {
+  private countSent(call: string): void {
     this.metrics.add('messages_sent_total', 1, 'entry', `call.${call}`);
   }
 
-  private received<T>(call: string, answer: T): T {
+  private countReceived<T>(call: string, answer: T): T {
     this.metrics.add('messages_received_total', 1, 'entry', `call.${call}`);
     return answer;
   }
--- a/src/observe/MeteredStore.ts
+++ b/src/observe/MeteredStore.ts
@@ -11,7 +11,7 @@
     private readonly metrics: Metrics,
   ) {}
 
-  /** Counts the calls to a store. */
+  /** Wraps a store so that its calls are counted. */
   static over(store: Store, metrics: Metrics): Store {
     return new MeteredStore(store, metrics);
   }
--- a/src/observe/MetricRow.ts
+++ b/src/observe/MetricRow.ts
@@ -1,8 +1,8 @@
-/** One row of the table of metrics. */
+/** One row of the metric table. */
 export default interface MetricRow {
-  /** A summary shows quantiles of the last minutes, and the sum and the count since the start. */
+  /** A summary exports quantiles of the last minutes, and the sum and the count since the start. */
   readonly kind: 'counter' | 'gauge' | 'summary';
-  /** The roles of process that show it. */
+  /** Process roles that export the metric. */
   readonly roles: readonly ('entry' | 'sidecar' | 'batchEntry' | 'runSidecar')[];
   readonly unit: string;
   readonly labels: readonly string[];
--- a/src/observe/Metrics.ts
+++ b/src/observe/Metrics.ts
@@ -7,8 +7,8 @@
 import WindowedHistogram from './WindowedHistogram';
 
 /**
- * The metrics of one process. Counting is an addition in memory; text is made only when somebody
- * asks for it.
+ * The metrics of one process. Counting is an addition in memory; the text is rendered only when the
+ * metrics are scraped.
  */
 export default class Metrics {
   private readonly registry = new Registry();
@@ -31,12 +31,12 @@
     this.read('process_resident_bytes', () => [{ value: process.memoryUsage.rss() }]);
   }
 
-  /** Creates the metrics that the table has for a role, all at zero. */
+  /** Creates the metrics that the table lists for a role, all at zero. */
   static create(timer: TimerService, role: MetricRow['roles'][number]): Metrics {
     return new Metrics(timer, role);
   }
 
-  /** Adds to a counter, with the values of its labels in the table's order. */
+  /** Increments a counter; the label values are given in the order of the table. */
   add(name: MetricName<'counter'>, by = 1, label = '', secondLabel = ''): void {
     const counts = this.counts.get(name);
     if (!counts) return;
@@ -44,19 +44,19 @@
     counts.set(key, (counts.get(key) ?? 0) + by);
   }
 
-  /** Adds a value, in the table's unit, to a summary. */
+  /** Adds a value, in the unit that the table gives, to a summary. */
   record(name: MetricName<'summary'>, value: number, label = ''): void {
     const histograms = this.histograms.get(name);
     if (!histograms) return;
     let histogram = histograms.get(label);
     if (!histogram) {
-      histogram = WindowedHistogram.create(this.timer, WINDOW_MS);
+      histogram = WindowedHistogram.create(this.timer, SUMMARY_WINDOW_MS);
       histograms.set(label, histogram);
     }
     histogram.record(value);
   }
 
-  /** Has a gauge, or a counter that is kept elsewhere, read whenever metrics are shown. */
+  /** Sets the function that supplies a gauge, or a counter kept elsewhere, each time metrics are rendered. */
   read(name: MetricName<'gauge' | 'counter'>, source: () => Iterable<Reading>): void {
     this.sources.set(name, source);
   }
@@ -69,19 +69,19 @@
   private register(name: string, row: MetricRow): void {
     if (row.kind === 'summary') this.histograms.set(name, new Map());
     else this.counts.set(name, new Map());
-    const shown = `${PREFIX}${name}`;
+    const exportedName = `${PREFIX}${name}`;
     const get = async () => ({
-      name: shown,
+      name: exportedName,
       help: row.help,
       type: row.kind,
       values: row.kind === 'summary' ? this.summaryOf(name, row) : this.valuesOf(name, row),
     });
-    // The registry asks no more of a metric than its name and these values.
-    this.registry.registerMetric({ name: shown, get } as never);
+    // The registry uses nothing of a metric but its name and `get`.
+    this.registry.registerMetric({ name: exportedName, get } as never);
   }
 
   private valuesOf(name: string, row: MetricRow): Sample[] {
-    const counted = [...this.counts.get(name)!].map(([key, value]) => ({
+    const counters = [...this.counts.get(name)!].map(([key, value]) => ({
       labels: labelsOf(row, key.split(SEPARATOR)),
       value,
     }));
@@ -89,7 +89,7 @@
       labels: labelsOf(row, labels),
       value,
     }));
-    const values = [...counted, ...read];
+    const values = [...counters, ...read];
     if (values.length === 0 && row.labels.length === 0) return [{ labels: {}, value: 0 }];
     return values;
   }
@@ -118,12 +118,12 @@
 
 const PREFIX = 'magnoliakeel_';
 
-/** Stands between the values of two labels in a key; no label has it. */
+/** Separates the values of two labels in a key; no label value contains it. */
 const SEPARATOR = '\n';
 
 const QUANTILES = [0.5, 0.9, 0.99, 0.999, 1];
 
-const WINDOW_MS = 60_000;
+const SUMMARY_WINDOW_MS = 60_000;
 
 function labelsOf(row: MetricRow, values: readonly string[]): Record<string, string> {
   return Object.fromEntries(row.labels.map((label, index) => [label, values[index] ?? '']));
--- a/src/observe/Reading.ts
+++ b/src/observe/Reading.ts
@@ -1,4 +1,4 @@
-/** One value that is read when metrics are shown, with its labels in the table's order. */
+/** One value read when metrics are rendered, with its label values in the order of the table. */
 export default interface Reading {
   readonly labels?: readonly string[];
   readonly value: number;
--- a/src/observe/WindowedHistogram.ts
+++ b/src/observe/WindowedHistogram.ts
@@ -2,7 +2,7 @@
 import type TimerService from '../core/TimerService';
 
 /**
- * The distribution of a value lately: quantiles cover the last one to two windows, the sum and the
+ * A histogram over a moving window: quantiles cover the last one to two windows, the sum and the
  * count everything since the start.
  */
 export default class WindowedHistogram {
@@ -12,7 +12,7 @@
 
   private current = newHistogram();
 
-  private earlier = newHistogram();
+  private previous = newHistogram();
 
   private windowEnd: number;
 
@@ -28,40 +28,40 @@
     return new WindowedHistogram(timer, windowMs);
   }
 
-  /** Adds a value; what is below the resolution of a millionth counts as 0. */
+  /** Adds a value. Values are rounded to millionths and limited to the range from 0 to a day in seconds. */
   record(value: number): void {
-    this.turn();
+    this.rotate();
     this.count += 1;
     this.sum += value;
-    this.current.recordValue(Math.min(LARGEST, Math.max(0, Math.round(value * STEPS))));
+    this.current.recordValue(Math.min(MAX_STEPS, Math.max(0, Math.round(value * STEPS_PER_UNIT))));
   }
 
-  /** The values below which the given shares lie; undefined when the last windows are empty. */
+  /** Quantiles for the given shares, from 0 to 1; undefined when the last two windows are empty. */
   quantiles(shares: readonly number[]): readonly number[] | undefined {
-    this.turn();
+    this.rotate();
     const both = newHistogram();
-    both.add(this.earlier);
+    both.add(this.previous);
     both.add(this.current);
     if (both.totalCount === 0) return undefined;
-    return shares.map((share) => both.getValueAtPercentile(share * 100) / STEPS);
+    return shares.map((share) => both.getValueAtPercentile(share * 100) / STEPS_PER_UNIT);
   }
 
-  private turn(): void {
+  private rotate(): void {
     const now = this.timer.now();
     if (now < this.windowEnd) return;
     const isIdle = now >= this.windowEnd + this.windowMs;
-    [this.earlier, this.current] = [this.current, this.earlier];
+    [this.previous, this.current] = [this.current, this.previous];
     this.current.reset();
-    if (isIdle) this.earlier.reset();
+    if (isIdle) this.previous.reset();
     this.windowEnd = now + this.windowMs;
   }
 }
 
-/** Values are kept as whole millionths. */
-const STEPS = 1_000_000;
+/** Values are stored as whole millionths. */
+const STEPS_PER_UNIT = 1_000_000;
 
 /** A day, in millionths of a second. */
-const LARGEST = 86_400 * STEPS;
+const MAX_STEPS = 86_400 * STEPS_PER_UNIT;
 
 function newHistogram(): Histogram {
   return build({ bitBucketSize: 32, autoResize: true, numberOfSignificantValueDigits: 2 });
--- a/src/observe/enumLabels.ts
+++ b/src/observe/enumLabels.ts
@@ -1,4 +1,4 @@
-/** The names of an enumeration's values as labels: lower case, by number. */
+/** Metric labels for the values of an enumeration: their names in lower case, by number. */
 export default function enumLabels(
   values: Readonly<Record<string, string | number>>,
 ): Readonly<Record<number, string>> {
--- a/test/observe/Metrics.test.ts
+++ b/test/observe/Metrics.test.ts
@@ -16,14 +16,14 @@
   return { timer, metrics, hooks: EntryMetrics.of(metrics) };
 }
 
-async function shown(metrics: Metrics): Promise<string> {
+async function renderOwn(metrics: Metrics): Promise<string> {
   const text = await metrics.render();
   const lines = text.split('\n').filter((line) => line.startsWith('magnoliakeel_'));
   const isOwn = (line: string) => !line.startsWith('magnoliakeel_process_') && !line.endsWith(' 0');
   return lines.filter(isOwn).join('\n');
 }
 
-test('shows what the hooks were told', async () => {
+test('renders the events that the hooks counted', async () => {
   const { metrics, hooks } = open();
   hooks.requestAnswered('quote', Outcome.COMPLETED);
   hooks.requestAnswered('quote', Outcome.NOT_RUN);
@@ -31,7 +31,7 @@
   hooks.taskSettled('quote', TaskStatus.COMPLETED, 120, 100);
   hooks.startRefused(RefusalCause.STALE_CREDIT);
   hooks.wasted('cancelled', 3);
-  expect(await shown(metrics)).toMatchInlineSnapshot(`
+  expect(await renderOwn(metrics)).toMatchInlineSnapshot(`
     "magnoliakeel_requests_total{service="quote",outcome="completed"} 1
     magnoliakeel_requests_total{service="quote",outcome="not_run"} 1
     magnoliakeel_stretch_ratio{service="quote",quantile="0.5"} 1.204223
@@ -55,7 +55,7 @@
   `);
 });
 
-test('tells entries that were removed from those that left', async () => {
+test('counts removed entries apart from those that left', async () => {
   const { metrics, hooks } = open();
   const view = (names: string, leaving = '') => {
     const members = [...names].map((name) => ({ incarnation: name, leaving: name === leaving }));
@@ -64,19 +64,19 @@
   view('abc', 'a');
   view('bc');
   view('b');
-  expect(await shown(metrics)).toMatchInlineSnapshot(`
+  expect(await renderOwn(metrics)).toMatchInlineSnapshot(`
     "magnoliakeel_members_removed_total 1
     magnoliakeel_members_left_total 1"
   `);
 });
 
-test('forgets old values in quantiles, but not in sums', async () => {
+test('drops old values from quantiles, but not from sums', async () => {
   const { timer, metrics } = open();
   metrics.record('response_seconds', 9, 'quote');
   await timer.advance(70_000);
   metrics.record('response_seconds', 1, 'quote');
   await timer.advance(60_000);
-  expect(await shown(metrics)).toMatchInlineSnapshot(`
+  expect(await renderOwn(metrics)).toMatchInlineSnapshot(`
     "magnoliakeel_response_seconds{service="quote",quantile="0.5"} 1.003519
     magnoliakeel_response_seconds{service="quote",quantile="0.9"} 1.003519
     magnoliakeel_response_seconds{service="quote",quantile="0.99"} 1.003519
@@ -87,10 +87,10 @@
   `);
 });
 
-test('reads gauges at the moment they are shown', async () => {
+test('reads gauges when metrics are rendered', async () => {
   const { metrics } = open();
   let queued = 1;
   metrics.read('queue_length', () => [{ labels: ['quote'], value: queued }]);
   queued = 7;
-  expect(await shown(metrics)).toBe('magnoliakeel_queue_length{service="quote"} 7');
+  expect(await renderOwn(metrics)).toBe('magnoliakeel_queue_length{service="quote"} 7');
 });
