--- a/src/observe/DialLog.ts
+++ b/src/observe/DialLog.ts
@@ -1,33 +1,34 @@
 import type TimerService from '../core/TimerService';
 import type EventLog from './EventLog';
 
-/** Dials of one address that have failed since it was last reached. */
-interface Failing {
-  readonly sinceMs: number;
+/** Failed dials of one address since it was last reached. */
+interface FailedDials {
+  readonly firstFailedAt: number;
   readonly tries: number;
-  /** The reason that was written last, and when. */
+  /** The reason that was logged last, and when. */
   readonly reason: string;
-  readonly writtenAt: number;
+  readonly loggedAt: number;
 }
 
 /**
- * Writes why an address cannot be reached: when that begins, when the reason changes, and when it is
- * over, with how often it was tried and for how long. Not each try, since there are two a second.
+ * Logs why an address cannot be reached: on the first failure, when the reason changes, and once it is
+ * reached again, with the number of tries and the duration. Single tries are not logged, since there
+ * are two a second.
  */
 export default class DialLog {
-  private readonly failing = new Map<string, Failing>();
+  private readonly failing = new Map<string, FailedDials>();
 
   private constructor(
     private readonly timer: TimerService,
     private readonly log: EventLog,
   ) {}
 
-  /** Creates it for dials of which none has failed. */
+  /** Creates a log without failed dials. */
   static to(timer: TimerService, log: EventLog): DialLog {
     return new DialLog(timer, log);
   }
 
-  /** Takes how a dial of an address went: why it failed, or nothing. */
+  /** Records the result of a dial: the reason of its failure, or undefined for success. */
   dialled(address: string, reason: string | undefined): void {
     if (reason === undefined) this.reached(address);
     else this.failed(address, reason);
@@ -37,32 +38,33 @@
     const failing = this.failing.get(address);
     if (!failing) return;
     this.failing.delete(address);
-    this.log.info('an address is reached again', { address, ...this.spanOf(failing) });
+    this.log.info('an address is reached again', { address, ...this.fieldsOf(failing) });
   }
 
   private failed(address: string, reason: string): void {
     const now = this.timer.now();
-    const before = this.failing.get(address) ?? {
-      sinceMs: now,
+    const previous = this.failing.get(address) ?? {
+      firstFailedAt: now,
       tries: 0,
       reason: '',
-      writtenAt: -Infinity,
+      loggedAt: -Infinity,
     };
-    const failing = { ...before, tries: before.tries + 1 };
-    const isNews = reason !== before.reason && now - before.writtenAt >= LINE_INTERVAL_MS;
-    this.failing.set(address, isNews ? { ...failing, reason, writtenAt: now } : failing);
-    if (this.failing.size > MOST_ADDRESSES) this.failing.delete([...this.failing.keys()][0]!);
-    if (!isNews) return;
-    this.log.warn('an address cannot be reached', { address, reason, ...this.spanOf(failing) });
+    const failing = { ...previous, tries: previous.tries + 1 };
+    const isNewReason =
+      reason !== previous.reason && now - previous.loggedAt >= MIN_LINE_INTERVAL_MS;
+    this.failing.set(address, isNewReason ? { ...failing, reason, loggedAt: now } : failing);
+    if (this.failing.size > MAX_ADDRESSES) this.failing.delete([...this.failing.keys()][0]!);
+    if (!isNewReason) return;
+    this.log.warn('an address cannot be reached', { address, reason, ...this.fieldsOf(failing) });
   }
 
-  private spanOf({ tries, sinceMs }: Failing): { tries: number; forMs: number } {
-    return { tries, forMs: Math.round(this.timer.now() - sinceMs) };
+  private fieldsOf({ tries, firstFailedAt }: FailedDials): { tries: number; forMs: number } {
+    return { tries, forMs: Math.round(this.timer.now() - firstFailedAt) };
   }
 }
 
-/** Reasons that change with each try make one line in this time and address, ms. */
-const LINE_INTERVAL_MS = 1_000;
+/** Shortest time between two lines about one address, ms, also when the reason changes with each try. */
+const MIN_LINE_INTERVAL_MS = 1_000;
 
-/** Addresses that are remembered; those of processes that are gone for good are given up first. */
-const MOST_ADDRESSES = 256;
+/** Most addresses that are tracked; the oldest are dropped first, as those of processes that are gone for good. */
+const MAX_ADDRESSES = 256;
--- a/src/observe/LineBuffer.ts
+++ b/src/observe/LineBuffer.ts
@@ -2,20 +2,20 @@
 import type TimerService from '../core/TimerService';
 
 /**
- * Log lines on their way to a file descriptor. They are written together a few times a second and
- * never wait for the reader: what exceeds the limit is left out, and how many lines that were is
- * written with the next ones.
+ * A buffer of log lines for a file descriptor. They are written in batches a few times a second, and
+ * a slow reader never blocks the process: lines beyond the limit are dropped, and their number is
+ * written with the next batch.
  */
 export default class LineBuffer {
   private lines: string[] = [];
 
-  private bytes = 0;
+  private bufferedChars = 0;
 
-  private dropped = 0;
+  private droppedLines = 0;
 
   private isWriting = false;
 
-  private isDue = false;
+  private isFlushScheduled = false;
 
   private isClosed = false;
 
@@ -29,43 +29,43 @@
     return new LineBuffer(fd, timer);
   }
 
-  /** Takes a line without its end. */
+  /** Adds a line, given without its line break. */
   write(line: string): void {
     if (this.isClosed) return;
-    if (this.bytes > MAX_BYTES) {
-      this.dropped += 1;
+    if (this.bufferedChars > MAX_BUFFERED_CHARS) {
+      this.droppedLines += 1;
       return;
     }
     this.lines.push(line);
-    this.bytes += line.length;
-    if (this.isDue) return;
-    this.isDue = true;
-    this.timer.after(FLUSH_MS, () => this.flush());
+    this.bufferedChars += line.length;
+    if (this.isFlushScheduled) return;
+    this.isFlushScheduled = true;
+    this.timer.after(FLUSH_DELAY_MS, () => this.flush());
   }
 
   /**
-   * Takes no more lines, writes what is left and resolves when all is written, or after the time: the
-   * reader may be behind. The line that says why a process ends is so the last.
+   * Accepts no more lines, writes the buffered ones and resolves when all are written, or after the limit
+   * since the reader may be slow. The line with the reason for the end of a process is thus the last one.
    */
   async drain(limitMs: number): Promise<void> {
     this.isClosed = true;
-    const until = this.timer.now() + limitMs;
+    const deadline = this.timer.now() + limitMs;
     this.flush();
-    while (this.isBusy && this.timer.now() < until) await this.timer.sleep(DRAIN_POLL_MS);
+    while (this.isBusy && this.timer.now() < deadline) await this.timer.sleep(DRAIN_CHECK_MS);
   }
 
   /**
-   * Writes what is left, for a process that ends without a drain. What is on its way already goes first
-   * and cannot be waited for here: nothing is written through the middle of it.
+   * Writes the buffered lines synchronously, for a process that exits without a drain. Does nothing while
+   * an asynchronous write is pending, since it cannot be awaited here and the lines would be mixed.
    */
   end(): void {
     if (this.isWriting) return;
-    const text = this.take();
+    const text = this.takeText();
     if (text === '') return;
     try {
       writeSync(this.fd, text);
     } catch {
-      // There is nobody left to tell that the reader of the log is gone, or too far behind.
+      // The reader of the log is gone or too slow, and there is no other place to report that.
     }
   }
 
@@ -74,9 +74,9 @@
   }
 
   private flush(): void {
-    this.isDue = false;
+    this.isFlushScheduled = false;
     if (this.isWriting) return;
-    const text = this.take();
+    const text = this.takeText();
     if (text === '') return;
     this.isWriting = true;
     write(this.fd, text, () => {
@@ -85,25 +85,27 @@
     });
   }
 
-  private take(): string {
-    if (this.dropped > 0) {
-      this.lines.push(JSON.stringify({ level: 'warn', message: TOO_MANY, lines: this.dropped }));
+  private takeText(): string {
+    if (this.droppedLines > 0) {
+      this.lines.push(
+        JSON.stringify({ level: 'warn', message: LINES_DROPPED, lines: this.droppedLines }),
+      );
     }
     const text = this.lines.map((line) => `${line}\n`).join('');
     this.lines = [];
-    this.bytes = 0;
-    this.dropped = 0;
+    this.bufferedChars = 0;
+    this.droppedLines = 0;
     return text;
   }
 }
 
-const TOO_MANY = 'log lines were left out because the reader was behind';
+const LINES_DROPPED = 'log lines were dropped because the reader of the log was too slow';
 
-/** How long a line waits for others, ms: a reader notices no delay, and a busy process saves most writes. */
-const FLUSH_MS = 250;
+/** How long lines are collected before a write, ms: too short for a reader to notice, and it saves a busy process most writes. */
+const FLUSH_DELAY_MS = 250;
 
-/** How often it is looked whether all is written, ms. */
-const DRAIN_POLL_MS = 5;
+/** Interval at which a drain checks whether all lines are written, ms. */
+const DRAIN_CHECK_MS = 5;
 
-/** Text that may wait, in characters: some seconds of a busy process. */
-const MAX_BYTES = 512 * 1024;
+/** Limit of the buffered text, in characters: the output of a busy process in some seconds. */
+const MAX_BUFFERED_CHARS = 512 * 1024;
--- a/src/observe/ProcessFaults.ts
+++ b/src/observe/ProcessFaults.ts
@@ -6,26 +6,26 @@
 import describeError from './describeError';
 import type Metrics from './Metrics';
 
-/** How many of each kind of thing a process holds, such as open batches. */
-type Holdings = Readonly<Record<string, unknown>>;
+/** Counts of the work that a process has in progress, such as open batches, by name. */
+type WorkCounts = Readonly<Record<string, unknown>>;
 
-/** Where the lines go. */
+/** The log that errors are written to. */
 type FaultLog = Pick<ConsolaInstance, 'error' | 'info'>;
 
 interface ProcessFaultsOptions {
   readonly timer: TimerService;
   readonly random: Random;
   readonly log: FaultLog;
-  /** Ends the process at once: it serves nobody yet. */
+  /** Exits at once, for a process that does not serve requests yet. */
   readonly end: () => void;
-  /** Has the process leave as for a planned stop, with its exit code for faults. */
+  /** Shuts the process down gracefully, as for a planned stop, with the exit code for faults. */
   readonly leave: () => void;
 }
 
 /**
- * The errors of a process that reached nobody. Each is written with what the process holds, and counted,
- * and the process goes on: what it holds does not end with one of them. When they come again and
- * again, it leaves in good order, so that a fresh one takes its place.
+ * Handles the uncaught errors of a process. Each is logged with the counts of work in progress, and
+ * counted, and the process goes on, so that one error does not end all its work. When errors keep
+ * occurring, the process shuts down gracefully, so that a new one takes its place.
  */
 export default class ProcessFaults {
   private readonly counts = new Map<string, number>();
@@ -34,13 +34,13 @@
 
   private readonly startedAt: number;
 
-  private holdings: (() => Holdings) | undefined;
+  private workCounts: (() => WorkCounts) | undefined;
 
-  /** Whether it pauses before it leaves, or leaves. */
-  private isLeaving = false;
+  /** Whether a shutdown is scheduled or has begun. */
+  private isShuttingDown = false;
 
-  /** Errors that were only counted since the last line. */
-  private unwritten = 0;
+  /** Errors that were counted but not logged since the last line. */
+  private unloggedErrors = 0;
 
   private log: FaultLog;
 
@@ -49,69 +49,71 @@
     this.startedAt = opts.timer.now();
   }
 
-  /** Creates it for a process that starts, which any error ends. */
+  /** Creates the handler for a process that is starting: until `contain` is called, any error ends it. */
   static create(opts: ProcessFaultsOptions): ProcessFaults {
     return new ProcessFaults(opts);
   }
 
-  /** The process serves others: from now on it goes on after an error, and writes to this log if one is given. */
-  contain(holdings: () => Holdings, log = this.log): void {
-    this.holdings = holdings;
+  /** Makes the process go on after errors, as soon as it serves requests; a log that is given replaces the first one. */
+  contain(workCounts: () => WorkCounts, log = this.log): void {
+    this.workCounts = workCounts;
     this.log = log;
   }
 
-  /** Has the count shown with the metrics of the process. */
+  /** Registers the count of errors with the metrics of the process. */
   expose(metrics: Metrics): void {
     metrics.read('faults_total', () =>
       [...this.counts].map(([origin, value]) => ({ labels: [origin], value })),
     );
   }
 
-  /** Takes an error, as the process's event 'uncaughtException' tells of it and of its origin. */
+  /** Handles an error with its origin, both as given by the process's event 'uncaughtException'. */
   take(error: unknown, origin: string): void {
     this.counts.set(origin, (this.counts.get(origin) ?? 0) + 1);
     const now = this.opts.timer.now();
-    if (this.rate.take(now) <= faultLimits.lines) this.write(error, origin);
-    else this.unwritten += 1;
-    if (!this.holdings) this.opts.end();
-    else if (!this.isLeaving && this.rate.isTooOften(now)) this.pause();
+    if (this.rate.take(now) <= faultLimits.lines) this.logError(error, origin);
+    else this.unloggedErrors += 1;
+    if (!this.workCounts) this.opts.end();
+    else if (!this.isShuttingDown && this.rate.isTooOften(now)) this.scheduleShutdown();
   }
 
-  private write(error: unknown, origin: string): void {
+  private logError(error: unknown, origin: string): void {
     const { timer } = this.opts;
     this.log.error('an error reached nobody', {
       origin,
       error: describeError(error),
       uptimeMs: Math.round(timer.now() - this.startedAt),
-      holds: this.held(),
-      unwritten: this.unwritten === 0 ? undefined : this.unwritten,
+      holds: this.readWorkCounts(),
+      unwritten: this.unloggedErrors === 0 ? undefined : this.unloggedErrors,
     });
-    this.unwritten = 0;
+    this.unloggedErrors = 0;
   }
 
-  /** What the process holds. The figures are of parts that may be what failed. */
-  private held(): Holdings {
+  /** Counts of the work in progress. Reading them may throw, since the parts that supply them may be what failed. */
+  private readWorkCounts(): WorkCounts {
     try {
-      return this.holdings?.() ?? {};
+      return this.workCounts?.() ?? {};
     } catch (error) {
       return { unknown: describeError(error) };
     }
   }
 
-  /** Other processes may meet the same errors at the same moment: each leaves after a pause of its own. */
-  private pause(): void {
+  /** Schedules the shutdown after a random delay, since other processes may meet the same errors at the same moment. */
+  private scheduleShutdown(): void {
     const { timer, random } = this.opts;
     const pauseMs = Math.round(random.unit() * faultLimits.pauseMs);
-    this.isLeaving = true;
-    this.log.error('errors come again and again: the process leaves after a pause', { pauseMs });
+    this.isShuttingDown = true;
+    this.log.error('errors keep occurring: the process shuts down after a random delay', {
+      pauseMs,
+    });
     timer.after(pauseMs, () => {
       if (this.rate.isTooOften(timer.now())) this.opts.leave();
-      else this.stay();
+      else this.cancelShutdown();
     });
   }
 
-  private stay(): void {
-    this.isLeaving = false;
-    this.log.info('the errors have stopped: the process goes on', {});
+  private cancelShutdown(): void {
+    this.isShuttingDown = false;
+    this.log.info('the errors have stopped: the process does not shut down', {});
   }
 }
--- a/src/observe/createLineLogger.ts
+++ b/src/observe/createLineLogger.ts
@@ -3,16 +3,16 @@
 import JsonReporter from './JsonReporter';
 import LineBuffer from './LineBuffer';
 
-/** A logger, and the way to see its lines written. */
+/** A logger, and a function that waits until its lines are written. */
 interface LineLogger {
   readonly log: ConsolaInstance;
-  /** Resolves when all lines are written, or after this time in ms. */
+  /** Resolves when all lines are written, or after the limit in ms. */
   readonly drain: (limitMs: number) => Promise<void>;
 }
 
 /**
- * Creates the logger of a process whose standard output is collected: JSON lines only, which never
- * hold the process up.
+ * Creates the logger of a process whose standard output is collected. It writes JSON lines only, and
+ * never blocks the process.
  */
 export default function createLineLogger(timer: TimerService): LineLogger {
   const buffer = LineBuffer.to(STANDARD_OUTPUT, timer);
--- a/src/observe/createLogger.ts
+++ b/src/observe/createLogger.ts
@@ -11,7 +11,7 @@
 };
 
 /**
- * Creates the logger of a process: readable lines on a terminal, JSON lines elsewhere. A line is a
+ * Creates the logger of a process: plain text on a terminal, JSON lines elsewhere. A log call passes a
  * message and, after it, an object of fields: `logger.info('link opened', { peer })`.
  */
 export default function createLogger(
--- a/src/observe/describeError.ts
+++ b/src/observe/describeError.ts
@@ -10,20 +10,20 @@
 }
 
 /**
- * Tells all of an error, its causes included, where a line of it as a field would be its message only.
- * Whatever was thrown is told as what a line can hold.
+ * Converts an error, its causes included, into fields for a log line; an error that is logged as a field
+ * would otherwise appear as its message only. Any thrown value becomes one that JSON can hold.
  */
 export default function describeError(error: unknown, depth = 0): ErrorFields {
   if (!(error instanceof Error)) return { name: typeof error, message: inspect(error) };
   const { name, message, stack, cause } = error;
   const { code } = error as { code?: unknown };
-  const isDeep = cause === undefined || depth >= MOST_CAUSES;
+  const isLastCause = cause === undefined || depth >= MAX_CAUSES;
   return {
     name: textOf(name),
     message: textOf(message),
     stack: stack && textOf(stack),
     code: code === undefined || typeof code === 'number' ? code : textOf(code),
-    cause: isDeep ? undefined : describeError(cause, depth + 1),
+    cause: isLastCause ? undefined : describeError(cause, depth + 1),
   };
 }
 
@@ -31,5 +31,5 @@
   return typeof value === 'string' ? value : inspect(value);
 }
 
-/** Causes that are followed; a chain may lead back to itself. */
-const MOST_CAUSES = 4;
+/** Most causes that are followed, since a chain of causes may be circular. */
+const MAX_CAUSES = 4;
--- a/src/observe/endProcess.ts
+++ b/src/observe/endProcess.ts
@@ -3,20 +3,20 @@
 interface ProcessEnd {
   readonly reason: string;
   readonly exitCode: number;
-  /** What else is known of it. */
+  /** Further fields of the log line. */
   readonly [field: string]: unknown;
 }
 
-/** Ends this process, with a line that says why; lines that wait are written first, as far as a reader takes them. */
+/** Logs why this process ends and exits; buffered lines are written first, as far as the reader of the log accepts them in time. */
 export default async function endProcess(
   { log, drain }: ReturnType<typeof createLineLogger>,
   end: ProcessEnd,
 ): Promise<void> {
   const write = end.exitCode === 0 ? log.info : log.error;
   write('the process ends', end);
-  await drain(DRAIN_MS);
+  await drain(DRAIN_LIMIT_MS);
   process.exit(end.exitCode);
 }
 
-/** A reader that lives takes what waits in less, and it lies within the time kept for the end of a planned stop, ms. */
-const DRAIN_MS = 200;
+/** Limit for writing the last lines, ms: a working reader needs less, and it fits into the time reserved for the end of a planned stop. */
+const DRAIN_LIMIT_MS = 200;
--- a/src/observe/metricTable.ts
+++ b/src/observe/metricTable.ts
@@ -1,8 +1,8 @@
 import type MetricRow from './MetricRow';
 
 /**
- * Every metric of every process. What is not in this table cannot be counted or shown, and
- * `docs/METRICS.md` is written from it. Names get the prefix `magnoliakeel_` where they are shown.
+ * Every metric of every process. A metric that is not in this table cannot be counted or exported, and
+ * `docs/METRICS.md` is generated from it. Exported names get the prefix `magnoliakeel_`.
  */
 const metricTable = {
   requests_total: {
--- a/test/observe/DialLog.test.ts
+++ b/test/observe/DialLog.test.ts
@@ -2,7 +2,7 @@
 import DialLog from '../../src/observe/DialLog';
 import ManualTimer from '../support/ManualTimer';
 
-/** The lines for dials that are 500 ms apart, each given by why it failed. */
+/** The log lines for dials at intervals of 500 ms, each given by the reason of its failure. */
 async function linesOf(dials: readonly (string | undefined)[]): Promise<readonly string[]> {
   const timer = ManualTimer.create();
   const lines: string[] = [];
@@ -16,7 +16,7 @@
   return lines;
 }
 
-test('tells when an address is out of reach, why else, and when it is back', async () => {
+test('logs when an address becomes unreachable, when the reason changes, and when it is reached again', async () => {
   const dials = [undefined, ...Array(4).fill('refused'), ...Array(3).fill('silent'), undefined];
   expect(await linesOf(dials)).toMatchInlineSnapshot(`
     [
@@ -27,7 +27,7 @@
   `);
 });
 
-test('reasons that change with each try make a line a second', async () => {
+test('logs at most one line a second when the reason changes with each try', async () => {
   expect(await linesOf(['a', 'b', 'c', 'd', 'e'])).toMatchInlineSnapshot(`
     [
       "an address cannot be reached: 1 in 0 ms a",
--- a/test/observe/LineBuffer.test.ts
+++ b/test/observe/LineBuffer.test.ts
@@ -7,46 +7,46 @@
 
 afterEach(() => vi.clearAllMocks());
 
-const FLUSH_MS = 250;
+const FLUSH_DELAY_MS = 250;
 
-/** A buffer whose first line is on its way to a reader that is behind, and whose second waits. */
-async function behind() {
+/** A buffer with a slow reader: the write of its first line is pending, and its second line is buffered. */
+async function openWithSlowReader() {
   const timer = ManualTimer.create();
   const buffer = LineBuffer.to(1, timer);
   const written: string[] = [];
-  const taken: (() => void)[] = [];
+  const pendingWrites: (() => void)[] = [];
   vi.mocked(write).mockImplementation(((_fd: number, text: string, done: () => void) => {
-    taken.push(() => {
+    pendingWrites.push(() => {
       written.push(text);
       done();
     });
   }) as unknown as typeof write);
   buffer.write('first');
-  await timer.advance(FLUSH_MS);
+  await timer.advance(FLUSH_DELAY_MS);
   buffer.write('last');
-  return { timer, buffer, written, read: () => taken.shift()?.() };
+  return { timer, buffer, written, completeWrite: () => pendingWrites.shift()?.() };
 }
 
-// A process ended while its reader was behind and lines were on their way: the last lines were written
-// through the middle of those (2 of 302 lines were no JSON, the last among them).
-test('the last lines wait for those that are on their way, and none comes after them', async () => {
-  const { timer, buffer, written, read } = await behind();
+// When a process ended during a pending write to a slow reader, its last lines were written into the
+// middle of the pending ones (2 of 302 lines were not valid JSON, the last one among them).
+test('a drain writes the last lines after the pending ones and accepts no more', async () => {
+  const { timer, buffer, written, completeWrite } = await openWithSlowReader();
   let isDrained = false;
   buffer.drain(200).then(() => {
     isDrained = true;
   });
   buffer.write('later');
   await timer.advance(50);
-  read();
+  completeWrite();
   await timer.advance(50);
   expect([written, isDrained]).toEqual([['first\n'], false]);
-  read();
+  completeWrite();
   await timer.advance(50);
   expect([written, isDrained]).toEqual([['first\n', 'last\n'], true]);
 });
 
-test('a reader that takes nothing is waited for no longer, and nothing is written through what it was sent', async () => {
-  const { timer, buffer } = await behind();
+test('a drain ends at its limit when the reader is blocked, and nothing is written during a pending write', async () => {
+  const { timer, buffer } = await openWithSlowReader();
   let isDrained = false;
   buffer.drain(200).then(() => {
     isDrained = true;
--- a/test/observe/ProcessFaults.test.ts
+++ b/test/observe/ProcessFaults.test.ts
@@ -4,19 +4,19 @@
 import ProcessFaults from '../../src/observe/ProcessFaults';
 import ManualTimer from '../support/ManualTimer';
 
-/** A process in memory, its lines, and what it does, each with the time in ms. */
+/** Creates the error handling of a process, with what it logs and does, each with the time in ms. */
 function open(seed = 123_456_789) {
   const timer = ManualTimer.create();
-  const seen: string[] = [];
-  const note = (text: string) => seen.push(`${timer.now()} ${text}`);
+  const events: string[] = [];
+  const record = (text: string) => events.push(`${timer.now()} ${text}`);
   const write = (message: string, fields: object) => {
     const { unwritten, pauseMs } = fields as Record<string, unknown>;
-    note(`${message} ${JSON.stringify({ unwritten, pauseMs })}`);
+    record(`${message} ${JSON.stringify({ unwritten, pauseMs })}`);
   };
   const faults = ProcessFaults.create({
     ...{ timer, random: Random.fromSeed(seed), log: { error: write, info: write } as never },
-    end: () => note('ends'),
-    leave: () => note('leaves'),
+    end: () => record('exits'),
+    leave: () => record('shuts down'),
   });
   const fail = async (times: number, intervalMs: number) => {
     for (let turn = 0; turn < times; turn += 1) {
@@ -24,62 +24,62 @@
       await timer.advance(intervalMs);
     }
   };
-  const others = () => seen.filter((line) => !line.includes('reached nobody {}'));
-  return { timer, faults, fail, seen, others };
+  const otherEvents = () => events.filter((line) => !line.includes('reached nobody {}'));
+  return { timer, faults, fail, events, otherEvents };
 }
 
-test('an error at the start ends the process at once', async () => {
-  const { fail, seen } = open();
+test('an error during startup ends the process at once', async () => {
+  const { fail, events } = open();
   await fail(1, 0);
-  expect(seen).toEqual(['0 an error reached nobody {}', '0 ends']);
+  expect(events).toEqual(['0 an error reached nobody {}', '0 exits']);
 });
 
-test('a process that serves goes on after an error', async () => {
-  const { faults, fail, seen, timer } = open();
+test('a process that serves requests goes on after an error', async () => {
+  const { faults, fail, events, timer } = open();
   faults.contain(() => ({ batches: 3 }));
   await fail(3, 1_000);
   await timer.advance(60_000);
-  expect(seen).toEqual([0, 1_000, 2_000].map((at) => `${at} an error reached nobody {}`));
+  expect(events).toEqual([0, 1_000, 2_000].map((at) => `${at} an error reached nobody {}`));
 });
 
-test('errors that go on make it leave once, after a pause of its own', async () => {
-  const seen = await Promise.all(
+test('errors that keep occurring shut the process down once, after a random delay', async () => {
+  const events = await Promise.all(
     [123_456_789, 1_987_654_321].map(async (seed) => {
-      const { faults, fail, others } = open(seed);
+      const { faults, fail, otherEvents } = open(seed);
       faults.contain(() => ({}));
       await fail(500, 100);
-      return others();
+      return otherEvents();
     }),
   );
-  expect(seen).toMatchInlineSnapshot(`
+  expect(events).toMatchInlineSnapshot(`
     [
       [
-        "2800 errors come again and again: the process leaves after a pause {"pauseMs":3207}",
-        "6007 leaves",
+        "2800 errors keep occurring: the process shuts down after a random delay {"pauseMs":3207}",
+        "6007 shuts down",
       ],
       [
-        "2800 errors come again and again: the process leaves after a pause {"pauseMs":7633}",
-        "10433 leaves",
+        "2800 errors keep occurring: the process shuts down after a random delay {"pauseMs":7633}",
+        "10433 shuts down",
       ],
     ]
   `);
 });
 
-test('it stays when they have stopped by the end of the pause', async () => {
-  const { faults, fail, others, timer } = open();
+test('a process is not shut down when the errors have stopped by the end of the delay', async () => {
+  const { faults, fail, otherEvents, timer } = open();
   faults.contain(() => ({}));
   await fail(30, 100);
   await timer.advance(60_000);
-  expect(others()).toMatchInlineSnapshot(`
+  expect(otherEvents()).toMatchInlineSnapshot(`
     [
-      "2800 errors come again and again: the process leaves after a pause {"pauseMs":3207}",
-      "6007 leaves",
+      "2800 errors keep occurring: the process shuts down after a random delay {"pauseMs":3207}",
+      "6007 shuts down",
     ]
   `);
 });
 
-test('of very many at once some are written, all are counted, and the next line tells of the rest', async () => {
-  const { faults, fail, others, timer, seen } = open();
+test('of many errors at once the first are logged and all counted, and the next line has the number of the others', async () => {
+  const { faults, fail, otherEvents, timer, events } = open();
   faults.contain(() => ({}));
   await fail(100, 0);
   await timer.advance(1_000);
@@ -88,7 +88,7 @@
   faults.expose(metrics);
   const text = await metrics.render();
   const shown = text.split('\n').filter((line) => line.startsWith('magnoliakeel_faults'));
-  expect([seen.length, others(), shown]).toMatchInlineSnapshot(`
+  expect([events.length, otherEvents(), shown]).toMatchInlineSnapshot(`
     [
       11,
       [
@@ -101,11 +101,11 @@
   `);
 });
 
-test('figures that cannot be had do not hide the error', async () => {
-  const { faults, fail, seen } = open();
+test('an error is logged also when the counts of work in progress cannot be read', async () => {
+  const { faults, fail, events } = open();
   faults.contain(() => {
     throw new Error('no figures');
   });
   await fail(1, 0);
-  expect(seen).toEqual(['0 an error reached nobody {}']);
+  expect(events).toEqual(['0 an error reached nobody {}']);
 });
--- a/test/observe/createLogger.test.ts
+++ b/test/observe/createLogger.test.ts
@@ -4,15 +4,15 @@
 
 type Logger = ReturnType<typeof createLogger>;
 
-function logged(write: (logger: Logger) => void): readonly unknown[] {
+function linesOf(write: (logger: Logger) => void): readonly unknown[] {
   const stream = new PassThrough({ encoding: 'utf8' });
   write(createLogger('info', stream));
   const lines = String(stream.read() ?? '').split('\n');
   return lines.filter(Boolean).map((line) => ({ ...JSON.parse(line), time: 'now' }));
 }
 
-test('a line away from a terminal is a JSON object with its fields', () => {
-  const lines = logged((logger) => {
+test('a line that is not written to a terminal is a JSON object with its fields', () => {
+  const lines = linesOf((logger) => {
     logger.info('link opened', { peer: 'e2', session: 3n });
     logger.warn('store unavailable', { cause: new Error('refused') });
   });
@@ -35,16 +35,16 @@
   `);
 });
 
-test('lines below the level are left out and repeated lines are all kept', () => {
-  const lines = logged((logger) => {
+test('lines below the level are omitted and repeated lines are all written', () => {
+  const lines = linesOf((logger) => {
     logger.debug('hidden');
     for (let i = 0; i < 12; i += 1) logger.error('again');
   });
   expect(lines).toHaveLength(12);
 });
 
-test('an error that nobody foresaw, the field "error", is told with its stack and causes', () => {
-  const [line] = logged((logger) =>
+test('an unexpected error, in the field "error", is logged with its stack and causes', () => {
+  const [line] = linesOf((logger) =>
     logger.warn('a message could not be handled', {
       error: new TypeError('no number', { cause: new Error('what was behind it') }),
     }),
--- a/test/observe/describeError.test.ts
+++ b/test/observe/describeError.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from 'vitest';
 import describeError from '../../src/observe/describeError';
 
-/** What is told of something thrown, as it would stand in a line, without stacks. */
-function told(thrown: unknown): string {
+/** The description of a thrown value as a log line would have it, without stacks. */
+function describe(thrown: unknown): string {
   return JSON.stringify(describeError(thrown), (key, value) =>
     key === 'stack' ? undefined : value,
   );
 }
 
-test('whatever was thrown can be told in a line', () => {
+test('any thrown value can be described in a log line', () => {
   const circular: { self?: unknown } = {};
   circular.self = circular;
   const looped = new Error('a');
@@ -23,7 +23,7 @@
     'no error': undefined,
     'an object without a name for itself': Object.assign(Object.create(null), { e: 5 }),
   };
-  const found = Object.entries(cases).map(([name, thrown]) => `${name}: ${told(thrown)}`);
+  const found = Object.entries(cases).map(([name, thrown]) => `${name}: ${describe(thrown)}`);
   expect(found).toMatchInlineSnapshot(`
     [
       "an error with a code and a cause: {"name":"TypeError","message":"b","code":"ECONNRESET","cause":{"name":"Error","message":"c"}}",
