--- a/src/core/Backoff.ts
+++ b/src/core/Backoff.ts
@@ -1,6 +1,6 @@
 import type Random from './Random';
 
-/** Doubling delays with jitter, for retries that must not come in step with others. */
+/** Exponential backoff with jitter, so that retries of several processes do not coincide. */
 export default class Backoff {
   private attempts = 0;
 
@@ -10,7 +10,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Creates a backoff that starts at the first delay and never exceeds one and a half times the limit. */
+  /** Creates a backoff that starts at about the first delay and never exceeds one and a half times the limit. */
   static of(firstMs: number, limitMs: number, random: Random): Backoff {
     return new Backoff(firstMs, limitMs, random);
   }
--- a/src/core/DEFAULT_PORT.ts
+++ b/src/core/DEFAULT_PORT.ts
@@ -1,4 +1,4 @@
-/** The port that a URL without TLS leaves out. */
+/** The port that a URL without TLS may omit. */
 const DEFAULT_PORT = 80;
 
 export default DEFAULT_PORT;
--- a/src/core/Lateness.ts
+++ b/src/core/Lateness.ts
@@ -2,50 +2,50 @@
 import type TimerService from './TimerService';
 
 /**
- * How late this process is with what it has to do: by how much a timer of its own is overdue, now or when it
- * was last called. All that arrives waits as long, since a process does one thing after the other.
+ * Measures the event-loop lag of this process: by how much a periodic timer is overdue, now or when it was
+ * last called. Every message that arrives waits as long, since the process handles one thing at a time.
  */
 export default class Lateness {
   private dueAt: number;
 
-  /** How late the timer's last call was, ms, and the one before it. */
-  private lastMs = 0;
+  /** Delay of the timer's last call and of the one before it, ms. */
+  private lastDelayMs = 0;
 
-  private beforeMs = 0;
+  private previousDelayMs = 0;
 
-  private readonly ticks: Subscription;
+  private readonly subscription: Subscription;
 
   private constructor(private readonly timer: TimerService) {
-    this.dueAt = timer.now() + INTERVAL_MS;
-    this.ticks = timer.every(INTERVAL_MS, () => this.tick());
+    this.dueAt = timer.now() + CHECK_INTERVAL_MS;
+    this.subscription = timer.every(CHECK_INTERVAL_MS, () => this.tick());
   }
 
-  /** Starts to watch. */
+  /** Starts the measurement. */
   static watch(timer: TimerService): Lateness {
     return new Lateness(timer);
   }
 
   /**
-   * How late what is done now is done, ms. One long turn alone, such as reading a configuration, counts for an
-   * interval at most: it says nothing of how much there is to do.
+   * The current event-loop lag, ms. A single long turn of the event loop, such as reading a configuration,
+   * adds one interval at most, since it does not mean that the process is overloaded.
    */
   get currentMs(): number {
-    const nowMs = Math.max(this.lastMs, this.timer.now() - this.dueAt);
-    return Math.min(nowMs, this.beforeMs + INTERVAL_MS);
+    const delayMs = Math.max(this.lastDelayMs, this.timer.now() - this.dueAt);
+    return Math.min(delayMs, this.previousDelayMs + CHECK_INTERVAL_MS);
   }
 
-  /** Ends the watch. */
+  /** Stops the measurement. */
   stop(): void {
-    this.ticks.cancel();
+    this.subscription.cancel();
   }
 
   private tick(): void {
     const now = this.timer.now();
-    this.beforeMs = this.lastMs;
-    this.lastMs = Math.max(0, now - this.dueAt);
-    this.dueAt = now + INTERVAL_MS;
+    this.previousDelayMs = this.lastDelayMs;
+    this.lastDelayMs = Math.max(0, now - this.dueAt);
+    this.dueAt = now + CHECK_INTERVAL_MS;
   }
 }
 
-/** How often the timer is due, ms: what is late by less is not noticed, and each call wakes the process. */
-const INTERVAL_MS = 100;
+/** Interval of the timer, ms. A shorter lag may go unnoticed, but a shorter interval would wake the process more often. */
+const CHECK_INTERVAL_MS = 100;
--- a/src/core/Random.ts
+++ b/src/core/Random.ts
@@ -3,7 +3,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** A seeded source of random numbers, so that a run can be repeated. */
+/** A seeded source of random numbers, so that a simulation can be reproduced. */
 export default class Random {
   private constructor(private readonly generator: RandomGenerator) {}
 
@@ -22,7 +22,7 @@
     return uniformInt(this.generator, 0, limit - 1);
   }
 
-  /** A number spread evenly over half to one and a half of the middle. */
+  /** A number distributed evenly from half to one and a half times the middle. */
   jitter(middle: number): number {
     return middle * (0.5 + this.unit());
   }
--- a/src/core/Terminal.ts
+++ b/src/core/Terminal.ts
@@ -1,4 +1,4 @@
-/** Where a program prints. Each text is a whole line without its line break. */
+/** The output of a program. Each text is a whole line without its line break. */
 export default interface Terminal {
   /** Prints a result to standard output. */
   print(text: string): void;
--- a/src/core/Versioned.ts
+++ b/src/core/Versioned.ts
@@ -1,8 +1,8 @@
 import type TimerService from './TimerService';
 
 /**
- * A value that only moves forward. Each value has a number; a value with the
- * same or a lower number is ignored, so that nothing ever reverts to an older one.
+ * Holds the newest version of a value. Each version has a number; one with the same
+ * or a lower number is ignored, so that the value never reverts to an older version.
  */
 export default class Versioned<T> {
   private readonly handlers = new Set<(value: T) => void>();
@@ -16,12 +16,12 @@
     this.value = first;
   }
 
-  /** Creates a holder with its first value and the way to read a value's number. */
+  /** Creates a holder with its first value and the function that returns a value's number. */
   static of<T>(first: T, numberOf: (value: T) => bigint): Versioned<T> {
     return new Versioned(first, numberOf);
   }
 
-  /** The newest value seen. */
+  /** The newest value. */
   get current(): T {
     return this.value;
   }
@@ -31,7 +31,7 @@
     return this.numberOf(this.value);
   }
 
-  /** Takes the value when it is newer, tells the subscribers, and says whether it did. */
+  /** Replaces the value if the given one is newer, and notifies the subscribers; returns whether it did. */
   adopt(value: T): boolean {
     if (this.numberOf(value) <= this.number) return false;
     this.value = value;
@@ -39,19 +39,19 @@
     return true;
   }
 
-  /** Resolves once a value of this number or a newer one is there, or with false after the delay. */
+  /** Resolves with true once the value has this number or a higher one, or with false after the limit. */
   async reached(number: bigint, timer: TimerService, limitMs: number): Promise<boolean> {
     if (this.number >= number) return true;
-    const there = new AbortController();
+    const reachedNumber = new AbortController();
     const unsubscribe = this.subscribe(() => {
-      if (this.number >= number) there.abort();
+      if (this.number >= number) reachedNumber.abort();
     });
-    await timer.sleep(limitMs, there.signal);
+    await timer.sleep(limitMs, reachedNumber.signal);
     unsubscribe();
-    return there.signal.aborted;
+    return reachedNumber.signal.aborted;
   }
 
-  /** Calls the handler with each newer value; returns the way to end that. */
+  /** Calls the handler with each newer value; returns a function that ends the subscription. */
   subscribe(handler: (value: T) => void): () => void {
     this.handlers.add(handler);
     return () => this.handlers.delete(handler);
--- a/src/core/Wakeup.ts
+++ b/src/core/Wakeup.ts
@@ -1,29 +1,29 @@
-/** Lets one task wait until another part has something for it. A call of `wake` while nobody waits is kept. */
+/** Lets one task wait for a signal from another part of the program. A call of `wake` while no task waits ends the next wait at once. */
 export default class Wakeup {
-  private awake = false;
+  private isSignalled = false;
 
   private resume: (() => void) | undefined;
 
   private constructor() {}
 
-  /** Creates one on which nothing has happened yet. */
+  /** Creates a signal that is not set. */
   static create(): Wakeup {
     return new Wakeup();
   }
 
-  /** Resolves at the next call of `wake`, or at once after one that nobody has waited for. */
+  /** Resolves at the next call of `wake`, or at once if there was one since the last wait. */
   async wait(): Promise<void> {
-    if (!this.awake) {
+    if (!this.isSignalled) {
       await new Promise<void>((resolve) => {
         this.resume = resolve;
       });
     }
-    this.awake = false;
+    this.isSignalled = false;
   }
 
   /** Resumes the waiting task. */
   wake(): void {
-    this.awake = true;
+    this.isSignalled = true;
     const { resume } = this;
     this.resume = undefined;
     resume?.();
--- a/src/core/exitCodes.ts
+++ b/src/core/exitCodes.ts
@@ -1,4 +1,4 @@
-/** Exit codes of the programs, by what they mean. Pipelines rely on them; the numbers never change. */
+/** Exit codes of the programs, by meaning. The numbers never change, since pipelines rely on them. */
 const exitCodes = {
   ok: 0,
   internal: 1,
--- a/src/core/faultLimits.ts
+++ b/src/core/faultLimits.ts
@@ -1,24 +1,24 @@
-/** When errors that reach nobody come again and again, and what a process does then; in milliseconds unless said otherwise. */
+/** Limits for uncaught errors that keep occurring, in milliseconds unless noted otherwise. */
 const faultLimits = {
   /**
-   * Errors within one such slice count once: a link that fails, or a zone whose links all fail, is one
-   * event with one error or a hundred. The product's own pulses come once in this time.
+   * Length of a time slice. Errors within one slice count once: a link that fails, or a zone whose links
+   * all fail, is one event with one error or a hundred. The product's own pulses have this interval.
    */
   sliceMs: 250,
-  /** How far back is looked. */
+  /** Length of the window in which slices with errors are counted. */
   windowMs: 10_000,
   /**
-   * Slices with errors in the window from which they come again and again. A timer or a link that fails
-   * each time gets there within 3 s. A caller that sends what fails gets there never: it comes again
-   * after 1,300 ms at the earliest, which is 8 slices of the window.
+   * Number of slices with errors in the window from which errors count as persistent. A timer or a link
+   * that fails each time reaches it within 3 s. A caller whose request fails never reaches it, since it
+   * retries after 1,300 ms at the earliest, which makes 8 slices in the window.
    */
   slices: 12,
   /**
-   * A process leaves after a pause of up to this long, drawn by each for itself: all entries may have got
-   * what makes them fail in the same millisecond. One that leaves and starts anew is away for about 2 s.
+   * Upper bound of the random delay before a process shuts down. Each process draws its own, because all
+   * entries may receive the cause of the errors in the same millisecond. A restart takes about 2 s.
    */
   pauseMs: 20_000,
-  /** Errors of a slice that are written; the others are counted. */
+  /** Number of errors in a slice that are logged; the others are only counted. */
   lines: 10,
 } as const;
 
--- a/src/core/findUsageMistake.ts
+++ b/src/core/findUsageMistake.ts
@@ -3,7 +3,7 @@
 
 /**
  * Checks a parsed command line against the options and arguments of the command it names, or the
- * global ones. Returns what is wrong, if anything.
+ * global ones. Returns a description of the first mistake, if there is one.
  */
 export default function findUsageMistake(cli: CAC): string | undefined {
   const command = cli.matchedCommand ?? cli.globalCommand;
--- a/src/core/jobKey.ts
+++ b/src/core/jobKey.ts
@@ -3,7 +3,7 @@
 const KEY_BYTES = 16;
 
 /**
- * The key under which every process knows a job: a hash of the service, the
+ * The key that identifies a job in all processes: a hash of the service, the
  * kind of submission ("job" or "request") and the id that the caller chose.
  */
 export default function jobKey(service: string, kind: string, id: string): string {
--- a/src/core/listenProblem.ts
+++ b/src/core/listenProblem.ts
@@ -1,4 +1,4 @@
-/** Why an address could not be listened on, in words, from the error of Node. */
+/** Describes in words why listening on an address failed, given the error from Node. */
 export default function listenProblem(error: Error): string {
   const code = (error as NodeJS.ErrnoException).code ?? '';
   return problems[code] ?? error.message;
--- a/src/core/openServer.ts
+++ b/src/core/openServer.ts
@@ -1,9 +1,9 @@
 import type { ListenOptions, Server } from 'node:net';
 
 /**
- * Opens a server at an address; rejects with the reason when that cannot be had. `failed` is told of each
- * connection that could not be accepted later, which concerns none of those there are: an error for
- * which nothing listens would end the process.
+ * Makes a server listen at an address; rejects with the error if that fails. `failed` is called for each
+ * connection that cannot be accepted later. Such an error does not affect the open connections, but
+ * would end the process if it had no listener.
  */
 export default function openServer(
   server: Server,
--- a/src/core/ownerOf.ts
+++ b/src/core/ownerOf.ts
@@ -4,8 +4,8 @@
 
 /**
  * Chooses the owner of a job among entry incarnations by rendezvous hashing:
- * the one with the highest weight for the job. When an entry comes or goes,
- * only the jobs that it wins or had won change owner.
+ * the one with the highest weight for the job. When an entry joins or leaves,
+ * only the jobs that it now owns or has owned change owner.
  */
 export default function ownerOf(job: string, incarnations: readonly string[]): string | undefined {
   let best: string | undefined;
--- a/src/core/ownersIn.ts
+++ b/src/core/ownersIn.ts
@@ -2,7 +2,7 @@
   readonly members: readonly { readonly incarnation: string; readonly leaving: boolean }[];
 }
 
-/** Incarnations of the members that own new jobs in a view: all but those that are leaving. */
+/** Incarnations of the members of a view that may own new jobs: all but those that are leaving. */
 export default function ownersIn({ members }: Members): string[] {
   return members.filter(({ leaving }) => !leaving).map(({ incarnation }) => incarnation);
 }
--- a/src/observe/LineBuffer.ts
+++ b/src/observe/LineBuffer.ts
@@ -51,14 +51,14 @@
     this.isClosed = true;
     const deadline = this.timer.now() + limitMs;
     this.flush();
-    while (this.isBusy && this.timer.now() < deadline) await this.timer.sleep(DRAIN_CHECK_MS);
+    while (this.hasPending && this.timer.now() < deadline) await this.timer.sleep(DRAIN_CHECK_MS);
   }
 
   /**
    * Writes the buffered lines synchronously, for a process that exits without a drain. Does nothing while
    * an asynchronous write is pending, since it cannot be awaited here and the lines would be mixed.
    */
-  end(): void {
+  flushSync(): void {
     if (this.isWriting) return;
     const text = this.takeText();
     if (text === '') return;
@@ -69,7 +69,7 @@
     }
   }
 
-  private get isBusy(): boolean {
+  private get hasPending(): boolean {
     return this.isWriting || this.lines.length > 0;
   }
 
--- a/src/observe/ProcessFaults.ts
+++ b/src/observe/ProcessFaults.ts
@@ -1,6 +1,6 @@
 import type { ConsolaInstance } from 'consola/core';
 import faultLimits from '../core/faultLimits';
-import FaultRate from '../core/FaultRate';
+import ErrorRate from '../core/ErrorRate';
 import type Random from '../core/Random';
 import type TimerService from '../core/TimerService';
 import describeError from './describeError';
@@ -30,7 +30,7 @@
 export default class ProcessFaults {
   private readonly counts = new Map<string, number>();
 
-  private readonly rate = FaultRate.create();
+  private readonly rate = ErrorRate.create();
 
   private readonly startedAt: number;
 
@@ -71,10 +71,10 @@
   take(error: unknown, origin: string): void {
     this.counts.set(origin, (this.counts.get(origin) ?? 0) + 1);
     const now = this.opts.timer.now();
-    if (this.rate.take(now) <= faultLimits.lines) this.logError(error, origin);
+    if (this.rate.add(now) <= faultLimits.lines) this.logError(error, origin);
     else this.unloggedErrors += 1;
     if (!this.workCounts) this.opts.end();
-    else if (!this.isShuttingDown && this.rate.isTooOften(now)) this.scheduleShutdown();
+    else if (!this.isShuttingDown && this.rate.isPersistent(now)) this.scheduleShutdown();
   }
 
   private logError(error: unknown, origin: string): void {
@@ -107,7 +107,7 @@
       pauseMs,
     });
     timer.after(pauseMs, () => {
-      if (this.rate.isTooOften(timer.now())) this.opts.leave();
+      if (this.rate.isPersistent(timer.now())) this.opts.leave();
       else this.cancelShutdown();
     });
   }
--- a/src/observe/Span.ts
+++ b/src/observe/Span.ts
@@ -14,7 +14,7 @@
   readonly parent: SpanContext | undefined;
   readonly startMs: number;
   /** Called with the span once it has ended and its end time is set. */
-  readonly ended: (span: Span) => void;
+  readonly onEnd: (span: Span) => void;
   readonly now: () => number;
 }
 
@@ -82,6 +82,6 @@
   end(): void {
     if (this.endMs > 0) return;
     this.endMs = Math.max(this.options.now(), this.startMs);
-    this.options.ended(this);
+    this.options.onEnd(this);
   }
 }
--- a/src/observe/Tracer.ts
+++ b/src/observe/Tracer.ts
@@ -74,7 +74,7 @@
       context,
       parent,
       startMs: this.wallTimeOf(startedAt),
-      ended: this.options.ended,
+      onEnd: this.options.ended,
       now: () => this.wallTimeOf(this.options.timer.now()),
     });
   }
--- a/src/observe/createLineLogger.ts
+++ b/src/observe/createLineLogger.ts
@@ -16,7 +16,7 @@
  */
 export default function createLineLogger(timer: TimerService): LineLogger {
   const buffer = LineBuffer.to(STANDARD_OUTPUT, timer);
-  process.on('exit', () => buffer.end());
+  process.on('exit', () => buffer.flushSync());
   const reporter = JsonReporter.with((line) => buffer.write(line));
   return {
     log: createConsola({ throttle: 0, reporters: [reporter] }),
--- a/test/observe/LineBuffer.test.ts
+++ b/test/observe/LineBuffer.test.ts
@@ -52,7 +52,7 @@
     isDrained = true;
   });
   await timer.advance(300);
-  buffer.end();
+  buffer.flushSync();
   expect(isDrained).toBe(true);
   expect(writeSync).not.toHaveBeenCalled();
 });
--- a/test/support/ManualTimer.ts
+++ b/test/support/ManualTimer.ts
@@ -4,62 +4,62 @@
 const WALL_START = Date.UTC(2025, 0, 1);
 const SETTLE_ROUNDS = 4;
 
-interface Entry {
+interface ScheduledCall {
   readonly at: number;
   readonly order: number;
   readonly handler: () => void;
 }
 
-/** A timer service that stands still until a test moves it. */
+/** A timer service whose clock moves only when a test advances it. */
 export default class ManualTimer implements TimerService {
-  private time = 0;
+  private nowMs = 0;
 
   private wallStepMs = 0;
 
-  private orders = 0;
+  private scheduledCount = 0;
 
-  private readonly entries = new Set<Entry>();
+  private readonly scheduled = new Set<ScheduledCall>();
 
   private constructor(private readonly rounds: number) {}
 
-  /** Creates a timer service at time 0; one round suffices where all waits are promise jobs. */
+  /** Creates a timer service at time 0; one settling round suffices if all waits are promise jobs. */
   static create(rounds = SETTLE_ROUNDS): ManualTimer {
     return new ManualTimer(rounds);
   }
 
-  /** Whether anything waits for the time to move. */
+  /** Whether any call is scheduled. */
   get isAwaited(): boolean {
-    return this.entries.size > 0;
+    return this.scheduled.size > 0;
   }
 
   now(): number {
-    return this.time;
+    return this.nowMs;
   }
 
   wall(): number {
-    return WALL_START + Math.floor(this.time) + this.wallStepMs;
+    return WALL_START + Math.floor(this.nowMs) + this.wallStepMs;
   }
 
-  /** Sets the wall clock forward, or back, by so much. */
+  /** Moves the wall clock forward, or back if negative, without moving the monotonic time. */
   stepWall(ms: number): void {
     this.wallStepMs += ms;
   }
 
   after(delayMs: number, handler: () => void): Subscription {
-    this.orders += 1;
-    const entry = { at: this.time + Math.max(0, delayMs), order: this.orders, handler };
-    this.entries.add(entry);
-    return { cancel: () => this.entries.delete(entry) };
+    this.scheduledCount += 1;
+    const call = { at: this.nowMs + Math.max(0, delayMs), order: this.scheduledCount, handler };
+    this.scheduled.add(call);
+    return { cancel: () => this.scheduled.delete(call) };
   }
 
   every(intervalMs: number, handler: () => void): Subscription {
     const stop = new AbortController();
-    const again = () => {
+    const fire = () => {
       if (stop.signal.aborted) return;
-      this.after(intervalMs, again);
+      this.after(intervalMs, fire);
       handler();
     };
-    this.after(intervalMs, again);
+    this.after(intervalMs, fire);
     return { cancel: () => stop.abort() };
   }
 
@@ -79,25 +79,25 @@
     });
   }
 
-  /** Moves the time, running what falls due in its order; promise jobs settle after each handler. */
+  /** Advances the time and runs the calls that become due, in their order; promise jobs settle after each of them. */
   async advance(ms: number): Promise<void> {
-    const target = this.time + ms;
+    const target = this.nowMs + ms;
     await ManualTimer.settle(this.rounds);
-    for (let next = this.due(target); next; next = this.due(target)) {
-      this.entries.delete(next);
-      this.time = Math.max(this.time, next.at);
-      next.handler();
+    for (let nextCall = this.nextDue(target); nextCall; nextCall = this.nextDue(target)) {
+      this.scheduled.delete(nextCall);
+      this.nowMs = Math.max(this.nowMs, nextCall.at);
+      nextCall.handler();
       await ManualTimer.settle(this.rounds);
     }
-    this.time = target;
+    this.nowMs = target;
   }
 
-  /** Moves the time without running anything, as when this process itself is stopped for so long. */
+  /** Moves the time without running any call, as if this process had been paused for so long. */
   jump(ms: number): void {
-    this.time += ms;
+    this.nowMs += ms;
   }
 
-  /** Lets promise jobs and what the event loop has ready run, without moving the time. */
+  /** Runs pending promise jobs and ready callbacks of the event loop, without moving the time. */
   static async settle(rounds = SETTLE_ROUNDS): Promise<void> {
     for (let round = 0; round < rounds; round += 1) {
       await new Promise<void>((resolve) => {
@@ -106,15 +106,15 @@
     }
   }
 
-  private due(target: number): Entry | undefined {
-    let first: Entry | undefined;
-    this.entries.forEach((entry) => {
-      if (entry.at <= target && (!first || isBefore(entry, first))) first = entry;
+  private nextDue(target: number): ScheduledCall | undefined {
+    let first: ScheduledCall | undefined;
+    this.scheduled.forEach((call) => {
+      if (call.at <= target && (!first || isBefore(call, first))) first = call;
     });
     return first;
   }
 }
 
-function isBefore(one: Entry, other: Entry): boolean {
+function isBefore(one: ScheduledCall, other: ScheduledCall): boolean {
   return one.at < other.at || (one.at === other.at && one.order < other.order);
 }
--- a/test/support/TraceCase.ts
+++ b/test/support/TraceCase.ts
@@ -38,7 +38,7 @@
 
   private readonly stop = new AbortController();
 
-  private readonly ended: Promise<unknown>[] = [];
+  private readonly stopped: Promise<unknown>[] = [];
 
   private exported = '';
 
@@ -88,7 +88,7 @@
   async close(): Promise<void> {
     this.stop.abort();
     await this.timer.advance(40_000);
-    await Promise.all(this.ended);
+    await Promise.all(this.stopped);
   }
 
   private async startEntry(instance: string, seed: number): Promise<void> {
@@ -103,7 +103,7 @@
     });
     valueOf(await entry.listen());
     this.entries.set(instance, entry);
-    this.ended.push(entry.run(this.stop.signal));
+    this.stopped.push(entry.run(this.stop.signal));
   }
 
   private async startSidecar(): Promise<void> {
@@ -122,7 +122,7 @@
       heartbeat: { intervalMs: 1000, suspectMs: 3000, closeMs: 5000 },
       tracer: this.tracerOf('s1', 9),
     });
-    this.ended.push(sidecar.run(this.stop.signal));
+    this.stopped.push(sidecar.run(this.stop.signal));
     const backend = { service: 'booking', address: '127.0.0.1:1', slots: 2, connections: 8 };
     sidecar.announce(backend);
     await this.timer.advance(3000);
--- a/test/support/Uncaught.ts
+++ b/test/support/Uncaught.ts
@@ -1,26 +1,26 @@
 type Listener = NodeJS.UncaughtExceptionListener;
 
-/** Collects the errors that nobody caught, which would end a process, until it is released. */
+/** Collects uncaught errors, which would otherwise end the process, until it is released. */
 export default class Uncaught {
-  /** What each error says, in their order. */
+  /** The errors as text, in the order in which they occurred. */
   readonly errors: string[] = [];
 
-  private readonly others: readonly Listener[] = process.listeners('uncaughtException');
+  private readonly previousListeners: readonly Listener[] = process.listeners('uncaughtException');
 
   private constructor() {
     process.removeAllListeners('uncaughtException');
     process.on('uncaughtException', this.collect);
   }
 
-  /** Takes the place of all that listens to such errors now. */
+  /** Replaces the present listeners for uncaught errors. */
   static collect(): Uncaught {
     return new Uncaught();
   }
 
-  /** Puts the listeners back. */
+  /** Restores the former listeners. */
   release(): void {
     process.off('uncaughtException', this.collect);
-    this.others.forEach((other) => process.on('uncaughtException', other));
+    this.previousListeners.forEach((listener) => process.on('uncaughtException', listener));
   }
 
   private readonly collect: Listener = (error) => this.errors.push(String(error));
