--- a/src/operators/OperatorReply.ts
+++ b/src/operators/OperatorReply.ts
@@ -1,6 +1,6 @@
-/** What the operators' listener answers. */
+/** A response of the operators' listener. */
 export default interface OperatorReply {
   readonly status: number;
-  /** JSON unless it is text. */
+  /** A string is sent as plain text, an object as JSON. */
   readonly body: string | object;
 }
--- a/src/operators/OperatorServer.ts
+++ b/src/operators/OperatorServer.ts
@@ -8,17 +8,17 @@
 import type OperatorRoute from './OperatorRoute';
 
 /**
- * The operators' HTTP listener of a daemon, apart from the callers' one. It
- * goes on answering while the process leaves, until it is closed.
+ * The HTTP listener for operators of a daemon, separate from the one for callers.
+ * It keeps answering during a graceful shutdown, until it is closed.
  */
 export default class OperatorServer {
   private readonly server: Server;
 
   private constructor(private readonly routes: readonly OperatorRoute[]) {
-    this.server = createServer({ headersTimeout: REQUEST_LIMIT_MS }, (req, res) => {
+    this.server = createServer({ headersTimeout: REQUEST_TIMEOUT_MS }, (req, res) => {
       this.serve(req, res).catch(() => res.destroy());
     });
-    this.server.requestTimeout = REQUEST_LIMIT_MS;
+    this.server.requestTimeout = REQUEST_TIMEOUT_MS;
     this.server.maxConnections = MAX_CONNECTIONS;
   }
 
@@ -30,7 +30,7 @@
   /** Listens at "ip:port" and returns the address in use. */
   listen(address: string): ResultAsync<string, Error> {
     const url = new URL(`http://${address}`);
-    // Whoever asked over a connection that could not be accepted asks again.
+    // A connection that could not be accepted needs no handling, since the client retries.
     const listening = openServer(this.server, hostAndPort(url, DEFAULT_PORT), () => undefined);
     return ResultAsync.fromPromise(listening, (error) => error as Error).map(
       () => `${url.hostname}:${(this.server.address() as AddressInfo).port}`,
@@ -73,13 +73,13 @@
   }
 }
 
-const REQUEST_LIMIT_MS = 5000;
+const REQUEST_TIMEOUT_MS = 5000;
 const MAX_CONNECTIONS = 256;
 
-/** The exposition format that scrapers expect; plain text to everybody else. */
+/** The Prometheus exposition format, which scrapers expect; other clients read it as plain text. */
 const TEXT_TYPE = 'text/plain; version=0.0.4; charset=utf-8';
 
-/** Makes a request's path a whole URL; only the path and the query are read. */
+/** Base for parsing a request's path as a URL, of which only the path and the query are used. */
 const BASE_URL = 'http://operators';
 
 function methodOf({ method }: OperatorRoute): string {
--- a/src/operators/collectStatus.ts
+++ b/src/operators/collectStatus.ts
@@ -2,13 +2,13 @@
 import type ProcessStatus from './ProcessStatus';
 import type SystemStatus from './SystemStatus';
 
-/** One member of the view with its answer; undefined when none came. */
+/** One member of the view with its answer, which is undefined if it did not answer. */
 interface Inspected {
   readonly member: Member;
   readonly answer: InspectResponse | undefined;
 }
 
-/** Puts the answers of a view's members together to one status of the system. */
+/** Combines the answers of a view's members into one status of the system. */
 export default function collectStatus(
   own: InspectResponse,
   view: View,
@@ -32,13 +32,13 @@
 function entryStatus({ member, answer }: Inspected): ProcessStatus {
   if (answer) return answeredStatus(answer);
   const { instance, incarnation, zone, operators, leaving } = member;
-  return { ...unknown, role: 'entry', instance, incarnation, zone, operators, leaving };
+  return { ...unknownStatus, role: 'entry', instance, incarnation, zone, operators, leaving };
 }
 
 function answeredStatus(answer: InspectResponse): ProcessStatus {
   const { instance, incarnation, zone, operators, leaving, jobs } = answer;
   return {
-    ...unknown,
+    ...unknownStatus,
     instance,
     incarnation,
     zone,
@@ -63,36 +63,36 @@
   };
 }
 
-/** Each sidecar once, with the newest that any entry knows of it. */
+/** Lists each sidecar once, merging the reports of all entries: flags, services and links are combined, and the highest configuration version counts. */
 function sidecarStatuses(answers: readonly InspectResponse[]): ProcessStatus[] {
   const merged = new Map<string, ProcessStatus>();
   answers
     .flatMap(({ sidecars }) => sidecars)
-    .forEach((told) => {
-      const { instance, incarnation, zone, operators } = told;
+    .forEach((report) => {
+      const { instance, incarnation, zone, operators } = report;
       const known = merged.get(incarnation);
-      const services = [...new Set([...(known?.services ?? []), ...told.services])];
+      const services = [...new Set([...(known?.services ?? []), ...report.services])];
       merged.set(incarnation, {
-        ...unknown,
+        ...unknownStatus,
         instance,
         incarnation,
         zone,
         operators,
         services,
         role: 'sidecar',
-        leaving: told.leaving || (known?.leaving ?? false),
-        reachable: !told.suspected || (known?.reachable ?? false),
+        leaving: report.leaving || (known?.leaving ?? false),
+        reachable: !report.suspected || (known?.reachable ?? false),
         configurationVersion: Math.max(
           known?.configurationVersion ?? 0,
-          Number(told.configurationVersion),
+          Number(report.configurationVersion),
         ),
-        links: (known?.links ?? 0) + (told.linked ? 1 : 0),
+        links: (known?.links ?? 0) + (report.linked ? 1 : 0),
       });
     });
   return [...merged.values()];
 }
 
-const unknown = {
+const unknownStatus = {
   operators: '',
   configurationVersion: 0,
   viewNumber: 0,
@@ -104,6 +104,6 @@
   links: 0,
 } as const;
 
-function byInstance(one: ProcessStatus, other: ProcessStatus): number {
-  return one.instance.localeCompare(other.instance, 'en', { numeric: true });
+function byInstance(a: ProcessStatus, b: ProcessStatus): number {
+  return a.instance.localeCompare(b.instance, 'en', { numeric: true });
 }
--- a/src/operators/commonRoutes.ts
+++ b/src/operators/commonRoutes.ts
@@ -1,18 +1,18 @@
 import metricsRoute from './metricsRoute';
 import type OperatorRoute from './OperatorRoute';
 
-/** What every daemon tells its operators. */
-interface Process {
-  /** Whether it can do its work now; false while it leaves. */
+/** Functions that every daemon provides to these routes. */
+interface ProcessHooks {
+  /** Whether the process can do its work now; false while it shuts down. */
   readonly isReady: () => boolean;
   /** All metrics as Prometheus text. */
   readonly metrics: () => Promise<string>;
-  /** Starts leaving in good order. */
+  /** Starts a graceful shutdown. */
   readonly drain: () => void;
 }
 
 /** The routes of every daemon: health, readiness, metrics and draining. */
-export default function commonRoutes({ isReady, metrics, drain }: Process): OperatorRoute[] {
+export default function commonRoutes({ isReady, metrics, drain }: ProcessHooks): OperatorRoute[] {
   return [
     { method: 'GET', path: /^\/healthz$/, handle: () => ({ status: 200, body: 'ok\n' }) },
     {
--- a/src/operators/describeHolder.ts
+++ b/src/operators/describeHolder.ts
@@ -2,7 +2,7 @@
 import { type InspectResponse, TaskStatus } from '../gen/magnoliakeel/v1/peer_pb';
 import type JobReport from './JobReport';
 
-/** What an entry told of a job that it has on record; undefined when it has none. */
+/** Describes an entry's record of a job; undefined when the entry has none. */
 export default function describeHolder({
   instance,
   job,
--- a/src/operators/entryRoutes.ts
+++ b/src/operators/entryRoutes.ts
@@ -14,21 +14,24 @@
 import type JobReport from './JobReport';
 import type OperatorRoute from './OperatorRoute';
 
-/** What the routes need beside the entry. */
-interface Surroundings {
+/** Dependencies of the routes besides the entry. */
+interface RouteDependencies {
   readonly timer: TimerService;
   readonly network: Pick<Network, 'inspect'>;
 }
 
-/** The routes that only entries have: the status of the system, and where a job is. */
-export default function entryRoutes(entry: Entry, surroundings: Surroundings): OperatorRoute[] {
+/** The routes that only entries have: the status of the system, and the records of a job. */
+export default function entryRoutes(
+  entry: Entry,
+  dependencies: RouteDependencies,
+): OperatorRoute[] {
   return [
     {
       method: 'GET',
       path: /^\/v1\/status$/,
       handle: async () => {
         const own = entry.inspect(create(InspectRequestSchema));
-        const inspected = await inspectMembers(entry, surroundings, '');
+        const inspected = await inspectMembers(entry, dependencies, '');
         return { status: 200, body: collectStatus(own, entry.views.current, inspected) };
       },
     },
@@ -38,7 +41,7 @@
       handle: async ([service, id], query) => {
         const kind = query.get('kind') ?? 'job';
         const key = jobKey(service!, kind, id!);
-        const inspected = await inspectMembers(entry, surroundings, key);
+        const inspected = await inspectMembers(entry, dependencies, key);
         const report: JobReport = {
           service: service!,
           id: id!,
@@ -53,31 +56,31 @@
   ];
 }
 
-/** How long the other members get to answer. */
-const INSPECT_LIMIT_MS = 1500;
+/** Time-out for the answers of the other members, ms. */
+const INSPECT_TIMEOUT_MS = 1500;
 
-async function inspectMembers(entry: Entry, surroundings: Surroundings, job: string) {
+async function inspectMembers(entry: Entry, dependencies: RouteDependencies, job: string) {
   const { members } = entry.views.current;
   return Promise.all(
     members.map(async (member) => ({
       member,
-      answer: await inspectMember(entry, surroundings, member, job),
+      answer: await inspectMember(entry, dependencies, member, job),
     })),
   );
 }
 
 async function inspectMember(
   entry: Entry,
-  { timer, network }: Surroundings,
+  { timer, network }: RouteDependencies,
   member: Member,
   job: string,
 ): Promise<InspectResponse | undefined> {
   const req = create(InspectRequestSchema, { job });
   if (member.incarnation === entry.incarnation) return entry.inspect(req);
   const answered = new AbortController();
-  const late = timer.sleep(INSPECT_LIMIT_MS, answered.signal).then(() => undefined);
+  const timeout = timer.sleep(INSPECT_TIMEOUT_MS, answered.signal).then(() => undefined);
   const answer = network.inspect(member.address, req).unwrapOr(undefined);
-  const first = await Promise.race([answer, late]);
+  const first = await Promise.race([answer, timeout]);
   answered.abort();
   return first?.incarnation === member.incarnation ? first : undefined;
 }
--- a/src/operators/metricsRoute.ts
+++ b/src/operators/metricsRoute.ts
@@ -1,6 +1,6 @@
 import type OperatorRoute from './OperatorRoute';
 
-/** The route at which a process shows its metrics as Prometheus text. */
+/** The route that serves the metrics of a process as Prometheus text. */
 export default function metricsRoute(render: () => Promise<string>): OperatorRoute {
   return {
     method: 'GET',
--- a/src/operators/reachableAddress.ts
+++ b/src/operators/reachableAddress.ts
@@ -1,9 +1,9 @@
 import DEFAULT_PORT from '../core/DEFAULT_PORT';
 
 /**
- * The address at which other machines reach a listener: one that listens on
- * all addresses of its machine takes the host of the address given instead.
- * Empty when there is none to take.
+ * The address at which other machines reach a listener. For a listener on all
+ * addresses of its machine it has the host of the advertised address, and is
+ * empty when none is advertised.
  */
 export default function reachableAddress(listening: string, advertised?: string): string {
   const { hostname, port } = new URL(`http://${listening}`);
--- a/test/operators/OperatorServer.test.ts
+++ b/test/operators/OperatorServer.test.ts
@@ -5,7 +5,7 @@
 import reachableAddress from '../../src/operators/reachableAddress';
 import valueOf from '../support/valueOf';
 
-test('tells health, readiness and metrics, and starts to drain', async () => {
+test('serves health, readiness and metrics, and starts a drain', async () => {
   let ready = true;
   const server = OperatorServer.create(
     commonRoutes({
@@ -17,18 +17,18 @@
     }),
   );
   const address = valueOf(await server.listen('127.0.0.1:0'));
-  const ask = async (method: 'GET' | 'POST', path: string): Promise<string> => {
+  const send = async (method: 'GET' | 'POST', path: string): Promise<string> => {
     const { statusCode, body } = await request(`http://${address}${path}`, { method });
     return `${statusCode} ${(await body.text()).trim()}`;
   };
   const answers = [
-    await ask('GET', '/healthz'),
-    await ask('GET', '/readyz'),
-    await ask('GET', '/metrics'),
-    await ask('GET', '/v1/drain'),
-    await ask('POST', '/v1/drain'),
-    await ask('GET', '/readyz'),
-    await ask('GET', '/metric'),
+    await send('GET', '/healthz'),
+    await send('GET', '/readyz'),
+    await send('GET', '/metrics'),
+    await send('GET', '/v1/drain'),
+    await send('POST', '/v1/drain'),
+    await send('GET', '/readyz'),
+    await send('GET', '/metric'),
   ];
   await server.close();
   expect(answers).toMatchInlineSnapshot(`
@@ -44,14 +44,14 @@
   `);
 });
 
-test('an address that listens everywhere is told with the advertised host', () => {
-  const told = [
+test('an address that listens on all interfaces gets the advertised host', () => {
+  const addresses = [
     reachableAddress('10.0.0.1:82'),
     reachableAddress('0.0.0.0:82', '10.0.0.1:81'),
     reachableAddress('[::]:82', '[fd00::1]:81'),
     reachableAddress('0.0.0.0:82'),
   ];
-  expect(told).toMatchInlineSnapshot(`
+  expect(addresses).toMatchInlineSnapshot(`
     [
       "10.0.0.1:82",
       "10.0.0.1:82",
