--- a/src/settings/YamlSource.ts
+++ b/src/settings/YamlSource.ts
@@ -16,7 +16,7 @@
 } from 'yaml';
 import type Finding from '../core/Finding';
 
-/** A YAML text with its value and the places of its parts. */
+/** A parsed YAML text, with its value and the positions of its nodes. */
 export default class YamlSource {
   private constructor(
     private readonly file: string,
@@ -24,11 +24,11 @@
     private readonly lines: LineCounter,
     /** The whole document as plain data. */
     readonly value: unknown,
-    /** Mistakes that leave the value usable, such as a key given twice. */
+    /** Mistakes that leave the value usable, such as a duplicate key. */
     readonly findings: readonly Finding[],
   ) {}
 
-  /** Parses a text. Syntax errors and an empty document are findings. */
+  /** Parses a text. Syntax errors and an empty document are reported as findings. */
   static parse(text: string, file: string): Result<YamlSource, readonly Finding[]> {
     const read = Result.fromThrowable(
       () => YamlSource.read(text, file),
@@ -58,7 +58,7 @@
     return ok(new YamlSource(file, doc, lines, value, findings));
   }
 
-  /** A finding about the value at the path; what is absent is placed at the nearest part around it. */
+  /** A finding about the value at the path; if that is absent, it has the position of the nearest enclosing node. */
   findingAt(path: readonly string[], message: string): Finding {
     return this.finding(path, this.locate(path).value, message);
   }
@@ -69,7 +69,7 @@
     return this.finding(path, key ?? value, message);
   }
 
-  /** A finding about a key that the mapping at the parent path lacks. */
+  /** A finding about a key that is missing in the mapping at the parent path. */
   findingMissing(parent: readonly string[], key: string, message: string): Finding {
     const around = this.locate(parent);
     return this.finding([...parent, key], around.key ?? around.value, message);
@@ -79,23 +79,23 @@
     return finding(this.file, this.lines.linePos(offset), message, path.join('.'));
   }
 
-  private locate(path: readonly string[]): Place {
+  private locate(path: readonly string[]): Location {
     let node: unknown = this.doc.contents;
-    let place: Place = { value: startOf(node) ?? 0 };
+    let location: Location = { value: startOf(node) ?? 0 };
     for (const segment of path) {
       if (isAlias(node)) node = node.resolve(this.doc);
       if (isSeq(node)) {
         node = node.items[Number(segment)];
-        place = { value: startOf(node) ?? place.value };
+        location = { value: startOf(node) ?? location.value };
       } else {
         const pair = pairOf(node, segment);
-        if (!pair) return place;
+        if (!pair) return location;
         const key = startOf(pair.key);
         node = pair.value;
-        place = { key, value: startOf(node) ?? key ?? place.value };
+        location = { key, value: startOf(node) ?? key ?? location.value };
       }
     }
-    return place;
+    return location;
   }
 }
 
@@ -104,7 +104,7 @@
   MULTIPLE_DOCS: 'found a second document, expected one',
 };
 
-interface Place {
+interface Location {
   readonly key?: number;
   readonly value: number;
 }
--- a/src/settings/findDisorder.ts
+++ b/src/settings/checkLessThan.ts
@@ -2,10 +2,10 @@
 import type YamlSource from './YamlSource';
 
 /**
- * Checks two numbers of a document of which the first must be smaller. The paths are of keys below
- * the base path. Numbers that are missing or no numbers are left to the schema.
+ * Checks that the first of two numbers in a document is less than the second. The paths are relative to
+ * the base path. Values that are missing or are not numbers are left to the schema check.
  */
-export default function findDisorder(
+export default function checkLessThan(
   source: YamlSource,
   base: readonly string[],
   smaller: string,
--- a/src/settings/checkSettings.ts
+++ b/src/settings/checkSettings.ts
@@ -6,8 +6,8 @@
 import YamlSource from './YamlSource';
 
 /**
- * Reads settings of one kind from YAML text, fills in the defaults, and checks them by the validator
- * generated from their schema. The file name is only used in the findings.
+ * Reads settings of one kind from YAML text, fills in the defaults and checks them with the validator
+ * generated from their schema. The file name is used only in the findings.
  */
 export default function checkSettings<Settings>(
   text: string,
--- a/src/settings/loadManifest.ts
+++ b/src/settings/loadManifest.ts
@@ -1,15 +1,15 @@
 import { err, ok, type Result } from 'neverthrow';
 import type Finding from '../core/Finding';
 import validateManifest from '../gen/validateManifest';
-import findDisorder from './findDisorder';
+import checkLessThan from './checkLessThan';
 import type Manifest from './Manifest';
 import schemaFindings from './schemaFindings';
 import sortFindings from './sortFindings';
 import YamlSource from './YamlSource';
 
 /**
- * Reads a manifest from YAML (or JSON) text and fills in the defaults. The file name is only used
- * in the findings, which cover the whole file.
+ * Reads a manifest from YAML (or JSON) text and fills in the defaults. The file name is used only in
+ * the findings, which list all mistakes in the file.
  */
 export default function loadManifest(
   text: string,
@@ -25,21 +25,21 @@
     ...schemaFindings(source, validateManifest.errors),
     ...findDuplicates(source, 'services'),
     ...findDuplicates(source, 'teams'),
-    ...itemsOf(source, 'services').flatMap((_, index) => findServiceDisorder(source, index)),
+    ...itemsOf(source, 'services').flatMap((_, index) => checkServiceLimits(source, index)),
   ];
   if (findings.length > 0) return err(sortFindings(findings));
   return ok(source.value as Manifest);
 }
 
-function findServiceDisorder(source: YamlSource, index: number): readonly Finding[] {
+function checkServiceLimits(source: YamlSource, index: number): readonly Finding[] {
   const base = ['services', String(index)];
   return [
-    ...findDisorder(source, base, 'timeoutMs', 'jobTimeoutMs'),
-    ...findDisorder(source, base, 'jobTimeoutMs', 'retentionMs'),
+    ...checkLessThan(source, base, 'timeoutMs', 'jobTimeoutMs'),
+    ...checkLessThan(source, base, 'jobTimeoutMs', 'retentionMs'),
   ];
 }
 
-/** Findings at each name that an earlier item of the list already has. */
+/** Findings for each item whose name an earlier item of the list already has. */
 function findDuplicates(source: YamlSource, list: 'services' | 'teams'): readonly Finding[] {
   const names = itemsOf(source, list).map(nameOf);
   return names.flatMap((name, index) => {
--- a/src/settings/loadSettings.ts
+++ b/src/settings/loadSettings.ts
@@ -4,15 +4,15 @@
 import nearestWord from '../core/nearestWord';
 import validateEntrySettings from '../gen/validateEntrySettings';
 import validateSidecarSettings from '../gen/validateSidecarSettings';
-import findDisorder from './findDisorder';
+import checkLessThan from './checkLessThan';
 import schemaFindings from './schemaFindings';
 import type Settings from './Settings';
 import sortFindings from './sortFindings';
 import YamlSource from './YamlSource';
 
 /**
- * Reads the settings of a process from YAML text and fills in the defaults. The file name is only
- * used in the findings, which cover the whole file.
+ * Reads the settings of a process from YAML text and fills in the defaults. The file name is used only
+ * in the findings, which list all mistakes in the file.
  */
 export default function loadSettings(
   text: string,
@@ -44,9 +44,9 @@
   const errors = validate.errors?.filter((error) => error.instancePath !== '/role');
   return [
     ...schemaFindings(source, errors),
-    ...findDisorder(source, [], 'heartbeat.intervalMs', 'heartbeat.suspectMs'),
-    ...findDisorder(source, [], 'heartbeat.suspectMs', 'heartbeat.closeMs'),
-    ...findDisorder(source, [], 'store.timeoutMs', 'store.leaseMs'),
+    ...checkLessThan(source, [], 'heartbeat.intervalMs', 'heartbeat.suspectMs'),
+    ...checkLessThan(source, [], 'heartbeat.suspectMs', 'heartbeat.closeMs'),
+    ...checkLessThan(source, [], 'store.timeoutMs', 'store.leaseMs'),
   ];
 }
 
@@ -55,7 +55,7 @@
   return Object.hasOwn(value, 'role') ? Reflect.get(value, 'role') : undefined;
 }
 
-/** The role, or the one nearest to a mistyped role, so that the rest can be checked too. */
+/** The given role, or the one nearest to a mistyped role, so that the other settings can be checked too. */
 function intendedRole(found: unknown): Settings['role'] | undefined {
   if (typeof found !== 'string') return undefined;
   return nearestWord(found, ROLES) as Settings['role'] | undefined;
--- a/src/settings/readText.ts
+++ b/src/settings/readText.ts
@@ -2,7 +2,7 @@
 import { ResultAsync } from 'neverthrow';
 import type Finding from '../core/Finding';
 
-/** Reads a file that an operator wrote. A file that cannot be read is a finding. */
+/** Reads a file that an operator wrote. If it cannot be read, the error is a finding that says why. */
 export default function readText(file: string): ResultAsync<string, readonly Finding[]> {
   return ResultAsync.fromPromise(readFile(file, 'utf8'), (error) => [
     { file, line: 1, column: 1, path: '', message: `cannot be read: ${reasonOf(error)}` },
--- a/src/settings/schemaFindings.ts
+++ b/src/settings/schemaFindings.ts
@@ -11,7 +11,7 @@
   enum: describeEnum,
 };
 
-/** Turns the errors of a generated validator into findings with their places in the source. */
+/** Converts the errors of a generated validator into findings with positions in the source. */
 export default function schemaFindings(
   source: YamlSource,
   errors: readonly ErrorObject[] | null | undefined,
@@ -31,20 +31,21 @@
 function describeUnknown(source: YamlSource, path: readonly string[], error: ErrorObject): Finding {
   const key = String(error.params.additionalProperty);
   const known = Object.keys(propertiesOf(error));
-  const near = nearestWord(key, known);
-  const hint = near === undefined ? `expected one of ${known.join(', ')}` : `expected "${near}"`;
+  const nearest = nearestWord(key, known);
+  const hint =
+    nearest === undefined ? `expected one of ${known.join(', ')}` : `expected "${nearest}"`;
   return source.findingAtKey([...path, key], `found an unknown key, ${hint}`);
 }
 
 function describeEnum(source: YamlSource, path: readonly string[], error: ErrorObject): Finding {
   const allowed: readonly unknown[] = error.params.allowedValues;
-  const expected = `one of ${allowed.map(show).join(', ')}`;
-  return source.findingAt(path, `found ${show(error.data)}, expected ${expected}`);
+  const expected = `one of ${allowed.map(format).join(', ')}`;
+  return source.findingAt(path, `found ${format(error.data)}, expected ${expected}`);
 }
 
 function describeValue(source: YamlSource, path: readonly string[], error: ErrorObject): Finding {
   const expected = expectedOf(error.parentSchema);
-  return source.findingAt(path, `found ${show(error.data)}, expected ${expected}`);
+  return source.findingAt(path, `found ${format(error.data)}, expected ${expected}`);
 }
 
 function pathOf(error: ErrorObject): readonly string[] {
@@ -56,7 +57,7 @@
   return error.parentSchema?.properties ?? {};
 }
 
-const TYPE_WORDS: Readonly<Record<string, string>> = {
+const TYPE_NAMES: Readonly<Record<string, string>> = {
   object: 'a mapping',
   array: 'a list',
   string: 'a text',
@@ -66,7 +67,7 @@
 };
 
 function expectedOf(schema: AnySchemaObject | undefined): string {
-  const what = schema?.title ?? TYPE_WORDS[schema?.type ?? ''] ?? 'a value';
+  const what = schema?.title ?? TYPE_NAMES[schema?.type ?? ''] ?? 'a value';
   return `${what}${rangeOf(schema)}`;
 }
 
@@ -76,13 +77,13 @@
   return ` from ${schema.minimum} to ${schema.maximum}`;
 }
 
-const SHOWN_LENGTH = 60;
+const MAX_TEXT_LENGTH = 60;
 
-function show(value: unknown): string {
+function format(value: unknown): string {
   if (value === null) return 'nothing';
   if (Array.isArray(value)) return value.length === 0 ? 'an empty list' : 'a list';
   if (typeof value === 'object') return 'a mapping';
   if (typeof value !== 'string') return String(value);
   const text = JSON.stringify(value);
-  return text.length > SHOWN_LENGTH ? `${text.slice(0, SHOWN_LENGTH)}…"` : text;
+  return text.length > MAX_TEXT_LENGTH ? `${text.slice(0, MAX_TEXT_LENGTH)}…"` : text;
 }
--- a/test/settings/loadManifest.test.ts
+++ b/test/settings/loadManifest.test.ts
@@ -2,17 +2,17 @@
 import formatFinding from '../../src/settings/formatFinding';
 import loadManifest from '../../src/settings/loadManifest';
 
-function findings(text: string): readonly string[] {
+function findingsOf(text: string): readonly string[] {
   return loadManifest(text, 'm.yaml').match(
     () => [],
     (found) => found.map(formatFinding),
   );
 }
 
-test('names given again are findings at their second place', () => {
+test('duplicate names are findings at the later position', () => {
   const text =
     'services:\n  - name: a\n  - name: a\nteams: [{ name: t }, { name: u }, { name: t }]\n';
-  expect(findings(text)).toMatchInlineSnapshot(`
+  expect(findingsOf(text)).toMatchInlineSnapshot(`
     [
       "m.yaml:3:11 services.1.name: found "a" again, expected a name other than that of services.0",
       "m.yaml:4:43 teams.2.name: found "t" again, expected a name other than that of teams.0",
@@ -20,17 +20,17 @@
   `);
 });
 
-test('a retention not above the job timeout is a finding', () => {
-  expect(findings('services: [{ name: a, retentionMs: 120000 }]')).toMatchInlineSnapshot(`
+test('a retention that does not exceed the job timeout is a finding', () => {
+  expect(findingsOf('services: [{ name: a, retentionMs: 120000 }]')).toMatchInlineSnapshot(`
     [
       "m.yaml:1:36 services.0.retentionMs: found 120000, expected more than jobTimeoutMs, which is 120000",
     ]
   `);
 });
 
-test('a timeout past the default retention is placed at its service', () => {
+test('a timeout above the default retention is reported at its service', () => {
   const text = 'services:\n  - name: a\n    jobTimeoutMs: 700000\n';
-  expect(findings(text)).toMatchInlineSnapshot(`
+  expect(findingsOf(text)).toMatchInlineSnapshot(`
     [
       "m.yaml:2:5 services.0.retentionMs: found 600000, expected more than jobTimeoutMs, which is 700000",
     ]
@@ -39,7 +39,7 @@
 
 test('keys, types and bounds are checked together', () => {
   const text = 'services: [{ name: A, maxTask: 3, retryBudget: 2, idempotent: "no" }]\nteams: {}\n';
-  expect(findings(text)).toMatchInlineSnapshot(`
+  expect(findingsOf(text)).toMatchInlineSnapshot(`
     [
       "m.yaml:1:20 services.0.name: found "A", expected a name of lower-case letters, digits and "-" that starts with a letter, up to 63 long",
       "m.yaml:1:23 services.0.maxTask: found an unknown key, expected "maxTasks"",
@@ -57,9 +57,9 @@
   );
 });
 
-test('a mistake reached by an alias is placed at its anchor', () => {
+test('a mistake in an aliased value is reported at its anchor', () => {
   const text = 'services:\n- { name: a, queue: &q { maxTasks: 0 } }\n- { name: b, queue: *q }\n';
-  expect(findings(text)).toMatchInlineSnapshot(`
+  expect(findingsOf(text)).toMatchInlineSnapshot(`
     [
       "m.yaml:2:36 services.0.queue.maxTasks: found 0, expected a whole number from 1 to 10000000",
       "m.yaml:2:36 services.1.queue.maxTasks: found 0, expected a whole number from 1 to 10000000",
--- a/test/settings/loadSettings.test.ts
+++ b/test/settings/loadSettings.test.ts
@@ -18,18 +18,18 @@
 store: { address: '127.0.0.1:2400' }
 `;
 
-function findings(text: string): readonly string[] {
+function findingsOf(text: string): readonly string[] {
   return loadSettings(text, 'a.yaml').match(
     () => [],
     (found) => found.map(formatFinding),
   );
 }
 
-test('four mistakes give four findings with their places', () => {
+test('four mistakes give four findings with positions', () => {
   const text = SIDECAR.replace('zone: a', 'zoen: a')
     .replace('127.0.0.1:7000', 'host:7000')
     .concat('heartbeat:\n  intervalMs: 0\n');
-  expect(findings(text)).toMatchInlineSnapshot(`
+  expect(findingsOf(text)).toMatchInlineSnapshot(`
     [
       "a.yaml:1:1 zone: found nothing, expected a name of up to 63 letters, digits, ".", "_" and "-"",
       "a.yaml:4:1 zoen: found an unknown key, expected "zone"",
@@ -39,11 +39,11 @@
   `);
 });
 
-test('every mistake in a document of one role is reported together with a mistyped role', () => {
+test('a mistyped role is reported together with the other mistakes for the intended role', () => {
   const text = ENTRY.replace('role: entry', 'role: entri').concat(
     'log: { level: loud }\nlimits:\nheartbeat: { suspectMs: 500 }\n',
   );
-  expect(findings(text)).toMatchInlineSnapshot(`
+  expect(findingsOf(text)).toMatchInlineSnapshot(`
     [
       "a.yaml:1:7 role: found "entri", expected "entry" or "sidecar"",
       "a.yaml:7:15 log.level: found "loud", expected one of "error", "warn", "info", "debug"",
@@ -60,7 +60,7 @@
   );
 });
 
-test('unreadable files and misplaced keys are findings', () => {
+test('unreadable files and invalid keys are findings', () => {
   const cases = {
     'an empty file': '',
     'only comments': '# nothing\n',
@@ -75,7 +75,9 @@
     'a bare word': 'entry',
     'a tag of another language': `${SIDECAR}log: !!python/none x\n`,
   };
-  const found = Object.entries(cases).map(([name, text]) => [name, ...findings(text)].join('\n  '));
+  const found = Object.entries(cases).map(([name, text]) =>
+    [name, ...findingsOf(text)].join('\n  '),
+  );
   expect(found.join('\n')).toMatchInlineSnapshot(`
     "an empty file
       a.yaml:1:1: found an empty document, expected a mapping
@@ -106,6 +108,6 @@
   `);
 });
 
-test('a deeply nested text is a finding and not an exception', () => {
-  expect(findings('['.repeat(100_000)).length).toBeGreaterThan(0);
+test('a deeply nested text gives a finding and does not throw', () => {
+  expect(findingsOf('['.repeat(100_000)).length).toBeGreaterThan(0);
 });
