--- a/src/daemon/loadTls.ts
+++ b/src/daemon/loadTls.ts
@@ -5,8 +5,8 @@
 import type TlsFiles from '../link/TlsFiles';
 
 /**
- * Reads the certificates that the settings name, if any, and keeps following them. The error says
- * why they can't be used.
+ * Loads the certificates that the settings name, if any, and reloads them when their files change. The
+ * error is the reason why they can't be used.
  */
 export default async function loadTls(
   files: TlsFiles | undefined,
@@ -17,8 +17,8 @@
   const loaded = await TlsCredentials.load(files);
   return loaded.map((credentials) => {
     credentials.watch(timer, (problem) => {
-      if (problem === undefined) log.info('new certificates are in use');
-      else log.warn(`the certificates on file can't be used, the last ones stay: ${problem}`);
+      if (problem === undefined) log.info('new certificates loaded');
+      else log.warn(`cannot load the new certificates, keeping the previous ones: ${problem}`);
     });
     return credentials;
   });
--- a/src/daemon/magnoliakeeld.ts
+++ b/src/daemon/magnoliakeeld.ts
@@ -9,7 +9,7 @@
 import runDaemon from './runDaemon';
 import stopReasons from './stopReasons';
 
-// The first signal stops the process in good order; a second one ends it at once.
+// The first signal starts a graceful shutdown; a second one ends the process at once.
 const stop = new AbortController();
 function stopOnce(): void {
   process.off('SIGTERM', stopOnce);
--- a/src/daemon/runDaemon.ts
+++ b/src/daemon/runDaemon.ts
@@ -17,9 +17,9 @@
 const NAME = 'magnoliakeeld';
 
 /**
- * Runs the daemon as its command line says. Aborting the signal stops it in good order.
+ * Runs the daemon with the given command line. Aborting the signal shuts it down gracefully.
  * @param argv the arguments after the program's name
- * @param faults the process's errors that reach nobody, when it looks for them
+ * @param faults the handler of uncaught errors, if the process has one
  */
 export default async function runDaemon(
   argv: readonly string[],
@@ -100,7 +100,7 @@
   return exitCode;
 }
 
-/** Why a role ends by itself, by its exit code. */
+/** Reasons for the end of a role, by its exit code. */
 const endReasons: Readonly<Partial<Record<ExitCode, string>>> = {
   [exitCodes.ok]: stopReasons.planned,
   [exitCodes.badFile]: 'the certificates are not usable',
--- a/src/daemon/runEntry.ts
+++ b/src/daemon/runEntry.ts
@@ -48,7 +48,7 @@
     callsPerSecond: settings.store.callsPerSecond,
     timeoutMs: settings.store.timeoutMs,
   });
-  const drained = new AbortController();
+  const drainRequested = new AbortController();
   let operators = '';
   const entry = Entry.create({
     settings,
@@ -69,16 +69,18 @@
     ...commonRoutes({
       isReady: () => entry.isReady,
       metrics: () => metrics.render(),
-      drain: () => drained.abort(),
+      drain: () => drainRequested.abort(),
     }),
     ...entryRoutes(entry, { timer, network }),
   ]);
-  const opened = await server.listen(settings.listen.operators);
-  if (opened.isErr()) {
-    log.error(`cannot listen: ${settings.listen.operators}: ${listenProblem(opened.error)}`);
+  const operatorsListening = await server.listen(settings.listen.operators);
+  if (operatorsListening.isErr()) {
+    log.error(
+      `cannot listen: ${settings.listen.operators}: ${listenProblem(operatorsListening.error)}`,
+    );
     return exitCodes.cannotListen;
   }
-  operators = reachableAddress(opened.value, settings.advertise);
+  operators = reachableAddress(operatorsListening.value, settings.advertise);
   const listening = await entry.listen();
   if (listening.isErr()) {
     log.error(`cannot listen: ${listening.error}`);
@@ -86,18 +88,18 @@
   }
   const { callers, peers } = listening.value;
   log.info(`entry ${settings.instance} listens for callers on ${callers}, for peers on ${peers}`);
-  log.info(`listening for operators on ${opened.value}`);
+  log.info(`listening for operators on ${operatorsListening.value}`);
   if (!tls.value) log.info('connections are without TLS: the settings name no certificates');
-  faults?.contain(() => holdingsOf(entry), log);
-  const ended = await entry.run(AbortSignal.any([signal, drained.signal]));
+  faults?.contain(() => workCountsOf(entry), log);
+  const ended = await entry.run(AbortSignal.any([signal, drainRequested.signal]));
   await traces?.close();
   await server.close();
   log.info(`entry ${settings.instance} has ${ended === 'removed' ? 'been removed' : 'stopped'}`);
   return ended === 'removed' ? exitCodes.removed : exitCodes.ok;
 }
 
-/** What an entry holds, for the line of an error. */
-function holdingsOf({ jobs, dispatcher, entryLinks, sidecarLinks }: Entry) {
+/** Counts of an entry's work in progress, which are logged with an uncaught error. */
+function workCountsOf({ jobs, dispatcher, entryLinks, sidecarLinks }: Entry) {
   return {
     jobs: jobs.openCount,
     tasksRunning: dispatcher.inFlight,
--- a/src/daemon/runSidecar.ts
+++ b/src/daemon/runSidecar.ts
@@ -41,7 +41,7 @@
   const random = Random.fromSeed(randomSeed());
   const incarnation = newIncarnation(instance);
   const traces = Traces.create({ timer, random, metrics, incarnation, settings });
-  const drained = new AbortController();
+  const drainRequested = new AbortController();
   let operators = '';
   const sidecar = Sidecar.create({
     timer,
@@ -70,20 +70,22 @@
     commonRoutes({
       isReady: () => sidecar.isReady,
       metrics: () => metrics.render(),
-      drain: () => drained.abort(),
+      drain: () => drainRequested.abort(),
     }),
   );
   const desk = BackendDesk.create({
     announce: (backend) => sidecar.announce(backend),
     withdraw: () => sidecar.withdrawBackend(),
   });
-  const opened = await server.listen(settings.listen.operators);
-  if (opened.isErr()) {
-    log.error(`cannot listen: ${settings.listen.operators}: ${listenProblem(opened.error)}`);
+  const operatorsListening = await server.listen(settings.listen.operators);
+  if (operatorsListening.isErr()) {
+    log.error(
+      `cannot listen: ${settings.listen.operators}: ${listenProblem(operatorsListening.error)}`,
+    );
     return exitCodes.cannotListen;
   }
-  operators = reachableAddress(opened.value);
-  log.info(`listening for operators on ${opened.value}`);
+  operators = reachableAddress(operatorsListening.value);
+  log.info(`listening for operators on ${operatorsListening.value}`);
   try {
     const address = await desk.listen(settings.listen.backend);
     log.info(`sidecar ${instance} listens for its backend server on ${address}`);
@@ -96,7 +98,7 @@
     () => ({ tasksRunning: sidecar.runningCount, entryLinks: sidecar.linkCount }),
     log,
   );
-  await sidecar.run(AbortSignal.any([signal, drained.signal]));
+  await sidecar.run(AbortSignal.any([signal, drainRequested.signal]));
   await desk.close();
   await traces?.close();
   await server.close();
--- a/src/daemon/stopReasons.ts
+++ b/src/daemon/stopReasons.ts
@@ -1,4 +1,4 @@
-/** Why the daemon is asked to stop. */
+/** Reasons for stopping the daemon. */
 const stopReasons = {
   planned: 'a planned stop',
   faults: 'errors came again and again',
--- a/test/daemon/runDaemon.test.ts
+++ b/test/daemon/runDaemon.test.ts
@@ -12,28 +12,28 @@
   return [code, ...terminal.lines].join('\n');
 }
 
-test('checking settings without mistakes ends with ok', async () => {
+test('--check exits with 0 for settings without mistakes', async () => {
   expect(await run('--check --config examples/entry.yaml')).toMatchInlineSnapshot(`
     "0
     out: examples/entry.yaml: settings of role entry, no mistakes found"
   `);
 });
 
-test('mistakes in the settings are printed and end with their exit code', async () => {
+test('mistakes in the settings are printed and give their own exit code', async () => {
   expect(await run('--config examples/manifest.yaml')).toMatchInlineSnapshot(`
     "3
     err: examples/manifest.yaml:3:1 role: found nothing, expected "entry" or "sidecar""
   `);
 });
 
-test('a settings file that is not there is a finding', async () => {
+test('a missing settings file is reported as a finding', async () => {
   expect(await run('--config examples/none.yaml')).toMatchInlineSnapshot(`
     "3
     err: examples/none.yaml:1:1: cannot be read: there is no such file"
   `);
 });
 
-test('a wrong command line is told with the nearest option', async () => {
+test('a wrong command line is reported, with the nearest option for an unknown one', async () => {
   const lines = ['', '--confg x', '--config', '--config a --config b', '--config a b', '--zzzzzzz'];
   expect(await Promise.all(lines.map(run))).toMatchInlineSnapshot(`
     [
@@ -59,7 +59,7 @@
   `);
 });
 
-test('checking settings with four mistakes prints four findings with their places', async () => {
+test('--check prints a finding with its position for each of four mistakes', async () => {
   const folder = await mkdtemp(path.join(tmpdir(), 'magnoliakeel-test-'));
   onTestFinished(() => rm(folder, { recursive: true }));
   const file = path.join(folder, 'entry.yaml');
--- a/test/daemon/silentConnection.test.ts
+++ b/test/daemon/silentConnection.test.ts
@@ -10,16 +10,16 @@
 import freePort from '../support/freePort';
 import TcpProxy from '../../tools/harness/TcpProxy';
 
-// A ping takes 15 s to time out, and processes start slowly beside other busy ones.
+// A ping times out after 15 s, and processes start slowly on a busy machine.
 vi.setConfig({ testTimeout: 60_000, hookTimeout: 60_000 });
 
-const ANY = '127.0.0.1:0';
-const PATIENCE = { timeout: 30_000, interval: 20 };
-/** Some half of the requests are the other entry's, and more than four of these fill the kernel's buffers. */
+const ANY_PORT = '127.0.0.1:0';
+const WAIT_OPTIONS = { timeout: 30_000, interval: 20 };
+/** About half of the requests are owned by the other entry, and more than four of those fill the kernel's buffers. */
 const REQUESTS = 30;
 const INPUT_BYTES = 1024 * 1024;
-/** After this long an entry that does not survive has ended, ms. */
-const END_MS = 1000;
+/** Time after which an entry that the fault ends has certainly ended, ms. */
+const EXIT_WAIT_MS = 1000;
 
 const timer = SystemTimer.create();
 const booking = { name: 'booking', maxTaskBytes: 2 * INPUT_BYTES, timeoutMs: 60_000 };
@@ -53,7 +53,7 @@
   return address;
 }
 
-/** Starts an entry as a process of its own. */
+/** Starts an entry as a separate process. */
 async function startEntry(instance: string, settings: object) {
   const file = path.join(folder, `${instance}.yaml`);
   const all = { role: 'entry', cluster: 'c', instance, zone: 'z', ...settings };
@@ -70,21 +70,21 @@
   const ended = new Promise<string>((resolve) => {
     child.once('close', () => resolve(printed));
   });
-  const find = (line: RegExp) => vi.waitUntil(() => line.exec(printed)?.[1], PATIENCE);
+  const find = (line: RegExp) => vi.waitUntil(() => line.exec(printed)?.[1], WAIT_OPTIONS);
   return { ended, find };
 }
 
 type Entry = Awaited<ReturnType<typeof startEntry>>;
 
-/** What an entry says of its health, or its last words. */
+/** The answer of an entry to a health check, or its whole output if the process ends. */
 async function healthOf({ ended, find }: Entry): Promise<string> {
   const operators = await find(/for operators on ([\d.:]+)/);
-  const asked = timer.sleep(END_MS).then(async () => {
+  const answer = timer.sleep(EXIT_WAIT_MS).then(async () => {
     const res = await fetch(`http://${operators}/healthz`);
     return res.text();
   });
-  asked.catch(() => undefined);
-  return Promise.race([ended, asked]);
+  answer.catch(() => undefined);
+  return Promise.race([ended, answer]);
 }
 
 function submit(callers: string, number: number, input: string): void {
@@ -92,21 +92,21 @@
   const key = `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${number.toString().padStart(12, '0')}`;
   const headers = { 'idempotency-key': key, 'magnoliakeel-deadline-ms': '60000' };
   const url = `http://${callers}/v1/services/booking/requests`;
-  // Without backend servers it waits until the entry ends.
+  // Without backend servers the request waits until the entry ends.
   fetch(url, { method: 'POST', headers, body: JSON.stringify(input) }).catch(() => undefined);
 }
 
-// Two of three entries ended 1 ms apart with all requests that they held: "Unhandled 'error' event",
-// "ConnectError: [unavailable] PING timed out". Each had lost a connection to the third without a word
-// and with data queued, had opened the next one, and was told of the loss by a reset.
-test('an entry outlives the reset of a connection that fell silent', async () => {
+// Two of three entries ended 1 ms apart, with all requests that they held, by an uncaught error: "Unhandled
+// 'error' event", "ConnectError: [unavailable] PING timed out". Each had a connection to the third entry that
+// became unresponsive with data queued, had opened a new one, and then received a reset of the old one.
+test('an entry survives the reset of a connection that was unresponsive', async () => {
   const store = { address: await startStore() };
   const peers = `127.0.0.1:${await freePort()}`;
   const proxy = await TcpProxy.to(peers);
   onTestFinished(() => proxy.close());
-  const listen = { callers: ANY, peers: ANY, operators: ANY };
+  const listen = { callers: ANY_PORT, peers: ANY_PORT, operators: ANY_PORT };
   const advertise = proxy.address;
-  // Nobody owned a request before the entry, so it asks nobody while the connection is silent.
+  // No other entry has owned requests before, so the entry need not ask one while the connection is unresponsive.
   const entry = await startEntry('b', { listen, store });
   const callers = await entry.find(/callers on ([\d.:]+)/);
   await entry.find(/(view 1: b)/);
@@ -115,11 +115,11 @@
   const numbers = Array.from({ length: REQUESTS }, (_, number) => number);
 
   numbers.forEach((number) => submit(callers, number, ''));
-  await vi.waitUntil(() => proxy.connections === 1, PATIENCE);
-  await timer.sleep(END_MS);
+  await vi.waitUntil(() => proxy.connections === 1, WAIT_OPTIONS);
+  await timer.sleep(EXIT_WAIT_MS);
   proxy.freeze();
   numbers.forEach((number) => submit(callers, REQUESTS + number, 'x'.repeat(INPUT_BYTES)));
-  await vi.waitUntil(() => proxy.connections === 2, PATIENCE);
+  await vi.waitUntil(() => proxy.connections === 2, WAIT_OPTIONS);
   proxy.reset();
   expect(await Promise.all([owner, entry].map(healthOf))).toEqual(['ok\n', 'ok\n']);
 });
--- a/test/daemon/startAndStop.test.ts
+++ b/test/daemon/startAndStop.test.ts
@@ -7,14 +7,14 @@
 import runDaemon from '../../src/daemon/runDaemon';
 import RecordingTerminal from '../support/RecordingTerminal';
 
-const ANY = '127.0.0.1:0';
+const ANY_PORT = '127.0.0.1:0';
 
-/** Runs an entry whose store is not there; resolves with its exit code and its log. */
+/** Runs an entry whose store is unreachable; resolves with its exit code and its log messages. */
 async function runEntry(listen: object, stop: AbortController, isUp: RegExp) {
   const folder = await mkdtemp(path.join(tmpdir(), 'magnoliakeel-test-'));
   onTestFinished(() => rm(folder, { recursive: true }));
   const file = path.join(folder, 'entry.yaml');
-  const addresses = { callers: ANY, peers: ANY, operators: ANY, ...listen };
+  const addresses = { callers: ANY_PORT, peers: ANY_PORT, operators: ANY_PORT, ...listen };
   const settings = { role: 'entry', cluster: 'c', instance: 'e', zone: 'z', listen: addresses };
   await writeFile(file, JSON.stringify({ ...settings, store: { address: '127.0.0.1:1' } }));
   const lines: string[] = [];
@@ -28,13 +28,13 @@
   return { code, lines };
 }
 
-test('a port that is taken is told in a line before that of the end, and by the exit code', async () => {
-  const taken = createServer().listen(0, '127.0.0.1');
-  await once(taken, 'listening');
+test('a port in use is logged before the end of the process and gives its own exit code', async () => {
+  const blocker = createServer().listen(0, '127.0.0.1');
+  await once(blocker, 'listening');
   onTestFinished(() => {
-    taken.close();
+    blocker.close();
   });
-  const { port } = taken.address() as AddressInfo;
+  const { port } = blocker.address() as AddressInfo;
   const callers = await runEntry(
     { callers: `127.0.0.1:${port}` },
     new AbortController(),
@@ -64,7 +64,7 @@
   `);
 });
 
-test('a store that is not there is one line, and the entry runs until it is stopped', async () => {
+test('an unreachable store is logged once, and the entry runs until it is stopped', async () => {
   expect(await runEntry({}, new AbortController(), /store/)).toMatchInlineSnapshot(`
     {
       "code": 0,
