--- a/src/observe/ProcessFaults.ts
+++ b/src/observe/ProcessFaults.ts
@@ -49,7 +49,7 @@
     this.startedAt = opts.timer.now();
   }
 
-  /** Creates the handler for a process that is starting: until `contain` is called, any error ends it. */
+  /** Creates the handler for a process that is starting: any error ends it before it serves requests. */
   static create(opts: ProcessFaultsOptions): ProcessFaults {
     return new ProcessFaults(opts);
   }
