--- a/src/core/Lateness.ts
+++ b/src/core/Lateness.ts
@@ -47,5 +47,5 @@
   }
 }
 
-/** Interval of the timer, ms. A shorter lag may go unnoticed, but a shorter interval would wake the process more often. */
+/** Interval of the timer, ms: a shorter lag may go unnoticed, and each call wakes the process. */
 const CHECK_INTERVAL_MS = 100;
--- a/src/core/Wakeup.ts
+++ b/src/core/Wakeup.ts
@@ -1,4 +1,7 @@
-/** Lets one task wait for a signal from another part of the program. A call of `wake` while no task waits ends the next wait at once. */
+/**
+ * Lets one task wait for a signal from another part of the program. A call of `wake` while no task waits
+ * ends the next wait at once.
+ */
 export default class Wakeup {
   private isSignalled = false;
 
--- a/src/observe/LineBuffer.ts
+++ b/src/observe/LineBuffer.ts
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Accepts no more lines, writes the buffered ones and resolves when all are written, or after the limit
+   * Accepts no more lines, writes the buffered ones and resolves when all are written, or after the limit,
    * since the reader may be slow. The line with the reason for the end of a process is thus the last one.
    */
   async drain(limitMs: number): Promise<void> {
@@ -101,7 +101,7 @@
 
 const LINES_DROPPED = 'log lines were dropped because the reader of the log was too slow';
 
-/** How long lines are collected before a write, ms: too short for a reader to notice, and it saves a busy process most writes. */
+/** Delay before buffered lines are written, ms: a reader does not notice it, and it saves a busy process most writes. */
 const FLUSH_DELAY_MS = 250;
 
 /** Interval at which a drain checks whether all lines are written, ms. */
--- a/src/observe/ProcessFaults.ts
+++ b/src/observe/ProcessFaults.ts
@@ -54,7 +54,7 @@
     return new ProcessFaults(opts);
   }
 
-  /** Makes the process go on after errors, as soon as it serves requests; a log that is given replaces the first one. */
+  /** Marks the process as serving requests, so that it goes on after errors; a given log replaces the first one. */
   contain(workCounts: () => WorkCounts, log = this.log): void {
     this.workCounts = workCounts;
     this.log = log;
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Schedules the shutdown after a random delay, since other processes may meet the same errors at the same moment. */
+  /** Shuts down after a random delay, since other processes may meet the same errors at the same moment. */
   private scheduleShutdown(): void {
     const { timer, random } = this.opts;
     const pauseMs = Math.round(random.unit() * faultLimits.pauseMs);
--- a/src/observe/Traces.ts
+++ b/src/observe/Traces.ts
@@ -26,7 +26,7 @@
     private readonly buffer: SpanBuffer,
   ) {}
 
-  /** Creates the tracer and the export that the settings configure; undefined when they name no destination for spans. */
+  /** Creates the tracer and its export from the settings; undefined when they name no destination for spans. */
   static create(options: TracesOptions): Traces | undefined {
     const { timer, random, metrics, incarnation, settings } = options;
     const sink = sinkOf(settings.traces);
--- a/src/observe/WindowedHistogram.ts
+++ b/src/observe/WindowedHistogram.ts
@@ -2,8 +2,8 @@
 import type TimerService from '../core/TimerService';
 
 /**
- * A histogram over a moving window: quantiles cover the last one to two windows, the sum and the
- * count everything since the start.
+ * A histogram over a moving window: quantiles cover the last one to two windows, and the sum and the
+ * count cover all values since the start.
  */
 export default class WindowedHistogram {
   count = 0;
--- a/src/observe/endProcess.ts
+++ b/src/observe/endProcess.ts
@@ -7,7 +7,7 @@
   readonly [field: string]: unknown;
 }
 
-/** Logs why this process ends and exits; buffered lines are written first, as far as the reader of the log accepts them in time. */
+/** Logs why this process ends, and exits once the buffered lines are written, or after `DRAIN_LIMIT_MS` if the reader is slow. */
 export default async function endProcess(
   { log, drain }: ReturnType<typeof createLineLogger>,
   end: ProcessEnd,
@@ -18,5 +18,8 @@
   process.exit(end.exitCode);
 }
 
-/** Limit for writing the last lines, ms: a working reader needs less, and it fits into the time reserved for the end of a planned stop. */
+/**
+ * Time limit for writing the last lines, ms: a working reader needs less, and it lies within the time reserved
+ * for the end of a planned stop.
+ */
 const DRAIN_LIMIT_MS = 200;
--- a/src/operators/collectStatus.ts
+++ b/src/operators/collectStatus.ts
@@ -63,7 +63,7 @@
   };
 }
 
-/** Lists each sidecar once, merging the reports of all entries: flags, services and links are combined, and the highest configuration version counts. */
+/** Merges the reports of all entries into one status for each sidecar, with the newest that any of them knows. */
 function sidecarStatuses(answers: readonly InspectResponse[]): ProcessStatus[] {
   const merged = new Map<string, ProcessStatus>();
   answers
--- a/test/observe/traces.test.ts
+++ b/test/observe/traces.test.ts
@@ -57,7 +57,7 @@
   expect(traceCase.called).toEqual([`00-${TRACE}-${call}-01`]);
 });
 
-test('a request whose caller asks for no trace is not traced, whatever the share', async () => {
+test('a request whose caller asks for no trace is never traced, even with a share of 1', async () => {
   const traceCase = await start(1);
   await traceCase.submit(1, `${CALLER}-00`);
   expect(traceCase.tree()).toBe('no spans');
--- a/test/support/TraceCase.ts
+++ b/test/support/TraceCase.ts
@@ -56,7 +56,7 @@
     return traceCase;
   }
 
-  /** Submits a job, whose tasks take 100 ms each, to an entry that does not own it. */
+  /** Submits a job, each task of which runs for 100 ms, to an entry that does not own it. */
   async submit(tasks: number, traceparent: string): Promise<Answer> {
     const id = this.idOwnedBy('e2');
     const input = Buffer.from('{"ms":100}');
