--- a/src/core/ErrorRate.ts
+++ b/src/core/ErrorRate.ts
@@ -1,4 +1,4 @@
-import faultLimits from './faultLimits';
+import uncaughtErrorLimits from './uncaughtErrorLimits';
 
 /**
  * Detects errors that keep occurring. It does not count single errors, since one event may cause very
@@ -27,11 +27,11 @@
   /** Whether errors keep occurring, judged by the window that ends now. */
   isPersistent(nowMs: number): boolean {
     this.removeExpired(nowMs);
-    return this.slices.size >= faultLimits.slices;
+    return this.slices.size >= uncaughtErrorLimits.persistentSlices;
   }
 
   private removeExpired(nowMs: number): void {
-    const oldest = sliceOf(nowMs - faultLimits.windowMs);
+    const oldest = sliceOf(nowMs - uncaughtErrorLimits.windowMs);
     [...this.slices.keys()]
       .filter((slice) => slice <= oldest)
       .forEach((slice) => this.slices.delete(slice));
@@ -39,5 +39,5 @@
 }
 
 function sliceOf(atMs: number): number {
-  return Math.floor(atMs / faultLimits.sliceMs);
+  return Math.floor(atMs / uncaughtErrorLimits.sliceMs);
 }
--- a/src/observe/JsonReporter.ts
+++ b/src/observe/JsonReporter.ts
@@ -16,7 +16,7 @@
   }
 
   log(line: LogObject): void {
-    const texts = line.args.filter((arg) => !isFields(arg)).map(textOf);
+    const texts = line.args.filter((arg) => !isFields(arg)).map(formatArg);
     const fields = Object.assign({}, ...line.args.filter(isFields));
     const head = { time: line.date.toISOString(), level: line.type, message: texts.join(' ') };
     this.writeLine(JSON.stringify({ ...fields, ...head }, encodeValue));
@@ -27,7 +27,7 @@
   return typeof arg === 'object' && arg !== null && !(arg instanceof Error);
 }
 
-function textOf(arg: unknown): string {
+function formatArg(arg: unknown): string {
   return arg instanceof Error ? (arg.stack ?? arg.message) : String(arg);
 }
 
--- a/src/observe/ProcessFaults.ts
+++ b/src/observe/ProcessFaults.ts
@@ -1,5 +1,5 @@
 import type { ConsolaInstance } from 'consola/core';
-import faultLimits from '../core/faultLimits';
+import uncaughtErrorLimits from '../core/uncaughtErrorLimits';
 import ErrorRate from '../core/ErrorRate';
 import type Random from '../core/Random';
 import type TimerService from '../core/TimerService';
@@ -71,7 +71,7 @@
   take(error: unknown, origin: string): void {
     this.counts.set(origin, (this.counts.get(origin) ?? 0) + 1);
     const now = this.opts.timer.now();
-    if (this.rate.add(now) <= faultLimits.lines) this.logError(error, origin);
+    if (this.rate.add(now) <= uncaughtErrorLimits.loggedPerSlice) this.logError(error, origin);
     else this.unloggedErrors += 1;
     if (!this.workCounts) this.opts.end();
     else if (!this.isShuttingDown && this.rate.isPersistent(now)) this.scheduleShutdown();
@@ -101,7 +101,7 @@
   /** Shuts down after a random delay, since other processes may meet the same errors at the same moment. */
   private scheduleShutdown(): void {
     const { timer, random } = this.opts;
-    const pauseMs = Math.round(random.unit() * faultLimits.pauseMs);
+    const pauseMs = Math.round(random.unit() * uncaughtErrorLimits.maxShutdownDelayMs);
     this.isShuttingDown = true;
     this.log.error('errors keep occurring: the process shuts down after a random delay', {
       pauseMs,
--- a/src/observe/Traces.ts
+++ b/src/observe/Traces.ts
@@ -29,7 +29,7 @@
   /** Creates the tracer and its export from the settings; undefined when they name no destination for spans. */
   static create(options: TracesOptions): Traces | undefined {
     const { timer, random, metrics, incarnation, settings } = options;
-    const sink = sinkOf(settings.traces);
+    const sink = createSink(settings.traces);
     if (!sink) return undefined;
     const resource = resourceFromAttributes({
       'service.name': `magnoliakeel-${settings.role}`,
@@ -52,7 +52,7 @@
   }
 }
 
-function sinkOf({ otlp, output }: Settings['traces']): SpanSink | undefined {
+function createSink({ otlp, output }: Settings['traces']): SpanSink | undefined {
   if (otlp !== '') return OtlpSink.to(otlp);
   return output === 'stdout' ? LineSink.to(process.stdout) : undefined;
 }
--- a/src/operators/OperatorServer.ts
+++ b/src/operators/OperatorServer.ts
@@ -61,14 +61,14 @@
   private async answer(req: IncomingMessage): Promise<OperatorReply> {
     const { pathname, searchParams } = new URL(req.url ?? '/', BASE_URL);
     const matching = this.routes.filter(({ path }) => path.test(pathname));
-    if (matching.length === 0) return problem(404, `there is no path ${pathname}`);
+    if (matching.length === 0) return errorReply(404, `there is no path ${pathname}`);
     const route = matching.find(({ method }) => method === req.method);
-    if (!route) return problem(405, `${pathname} takes ${matching.map(methodOf).join(', ')}`);
+    if (!route) return errorReply(405, `${pathname} takes ${matching.map(methodOf).join(', ')}`);
     try {
       const names = route.path.exec(pathname)!.slice(1).map(decodeURIComponent);
       return await route.handle(names, searchParams);
     } catch (error) {
-      return problem(500, String(error));
+      return errorReply(500, String(error));
     }
   }
 }
@@ -86,6 +86,6 @@
   return method;
 }
 
-function problem(status: number, reason: string): OperatorReply {
+function errorReply(status: number, reason: string): OperatorReply {
   return { status, body: { reason } };
 }
--- a/src/operators/describeHolder.ts
+++ b/src/operators/describeHolder.ts
@@ -20,12 +20,12 @@
     tasks: places.map(({ index, sidecar, status }) => ({
       index,
       sidecar,
-      status: nameOf(statuses.get(index) ?? status, sidecar),
+      status: statusName(statuses.get(index) ?? status, sidecar),
     })),
   };
 }
 
-function nameOf(status: TaskStatus, sidecar: string): string {
+function statusName(status: TaskStatus, sidecar: string): string {
   if (status !== TaskStatus.UNSPECIFIED) return TASK_NAMES[status];
   return sidecar === '' ? 'waiting' : 'started';
 }
