--- a/src/operators/describeHolder.ts
+++ b/src/operators/describeHolder.ts
@@ -2,7 +2,7 @@
 import { type InspectResponse, TaskStatus } from '../gen/magnoliakeel/v1/peer_pb';
 import type JobReport from './JobReport';
 
-/** What an entry told of a job that it has on record; undefined when it has none. */
+/** Describes an entry's record of a job; undefined when the entry has none. */
 export default function describeHolder({
   instance,
   job,
@@ -20,12 +20,12 @@
     tasks: places.map(({ index, sidecar, status }) => ({
       index,
       sidecar,
-      status: nameOf(statuses.get(index) ?? status, sidecar),
+      status: statusName(statuses.get(index) ?? status, sidecar),
     })),
   };
 }
 
-function nameOf(status: TaskStatus, sidecar: string): string {
+function statusName(status: TaskStatus, sidecar: string): string {
   if (status !== TaskStatus.UNSPECIFIED) return TASK_NAMES[status];
   return sidecar === '' ? 'waiting' : 'started';
 }
