--- a/tools/harness/Cluster.ts
+++ b/tools/harness/Cluster.ts
@@ -8,36 +8,36 @@
 import type ProcessWatch from './ProcessWatch';
 import Processes from './Processes';
 
-/** What differs from a plain cluster: settings by role, and who is told of processes and starts. */
+/** Overrides of the default cluster: settings by role, observers of processes and starts, and the daemon's program. */
 interface Overrides {
   readonly entry?: object;
   readonly sidecar?: object;
   readonly watch?: ProcessWatch;
-  /** Address that backend servers report each start to before they run it, "ip:port". */
+  /** Address to which backend servers report each start before they run it, "ip:port". */
   readonly recorder?: string;
-  /** The program that daemons are run from, when it is not the daemon as it ships. */
+  /** The program of `dist` to run as the daemon; magnoliakeeld by default. */
   readonly program?: string;
 }
 
 /**
  * A whole system on this machine: the platform stand-in, entries, sidecars and
- * backend server stand-ins, each a process of its own on loopback.
+ * backend server stand-ins, each in its own process and connected over loopback.
  */
 export default class Cluster {
   readonly processes: Processes;
 
   private platformAddress = '';
 
-  private readonly callers = new Map<string, string>();
+  private readonly callerAddresses = new Map<string, string>();
 
-  private readonly peers = new Map<string, string>();
+  private readonly peerAddresses = new Map<string, string>();
 
-  private readonly operators = new Map<string, string>();
+  private readonly operatorAddresses = new Map<string, string>();
 
-  private readonly backends = new Map<string, string>();
+  private readonly backendAddresses = new Map<string, string>();
 
-  /** Where the sidecars take announcements; kept over restarts. */
-  private readonly desks = new Map<string, string>();
+  /** Where each sidecar accepts announcements of its backend server; kept across restarts. */
+  private readonly sidecarAddresses = new Map<string, string>();
 
   private constructor(
     readonly size: ClusterSize,
@@ -47,7 +47,7 @@
     this.processes = Processes.create(overrides.watch);
   }
 
-  /** Starts all processes and waits until every backend server has its sidecar linked. */
+  /** Starts all processes and waits until every backend server is connected to its sidecar. */
   static async start(
     size: ClusterSize,
     manifest: object,
@@ -66,44 +66,44 @@
     return this.platformAddress;
   }
 
-  /** Names of the entries that were started. */
+  /** Names of all entries ever started. */
   get entryNames(): string[] {
-    return [...this.callers.keys()];
+    return [...this.callerAddresses.keys()];
   }
 
-  /** Names of the backend servers that were started. */
+  /** Names of all backend servers ever started. */
   get backendNames(): string[] {
-    return [...this.backends.keys()];
+    return [...this.backendAddresses.keys()];
   }
 
-  /** Base address for callers of an entry. */
+  /** Base URL at which an entry serves callers. */
   callersOf(entry: string): string {
-    return `http://${this.callers.get(entry)}`;
+    return `http://${this.callerAddresses.get(entry)}`;
   }
 
-  /** Operators' address of an entry or a sidecar, "ip:port". */
+  /** Address at which an entry or a sidecar serves operators, "ip:port". */
   operatorsOf(name: string): string {
-    return this.operators.get(name)!;
+    return this.operatorAddresses.get(name)!;
   }
 
-  /** Base address of a backend server stand-in. */
+  /** Base URL of a backend server stand-in. */
   backendAddress(backend: string): string {
-    return `http://${this.backends.get(backend)}`;
+    return `http://${this.backendAddresses.get(backend)}`;
   }
 
-  /** Starts an entry, for the first time or again. */
+  /** Starts or restarts an entry. */
   async startEntry(name: string): Promise<void> {
     const settings = {
       ...{ role: 'entry', cluster: 'local', instance: name, zone: this.zoneOf(name) },
-      listen: { callers: ANY, peers: ANY, operators: ANY },
+      listen: { callers: ANY_PORT, peers: ANY_PORT, operators: ANY_PORT },
       store: { address: this.platformAddress },
       ...this.overrides.entry,
     };
     await this.startDaemon(name, settings);
     const line = await this.processes.waitFor(name, /on (\S+, for peers on [\d.:]+)/);
     const [callers, peers] = line.split(', for peers on ');
-    this.callers.set(name, callers!);
-    this.peers.set(name, peers!);
+    this.callerAddresses.set(name, callers!);
+    this.peerAddresses.set(name, peers!);
   }
 
   /** Starts a sidecar and its backend server. */
@@ -113,33 +113,36 @@
     await this.processes.waitFor(sidecar, /offers/);
   }
 
-  /** Starts a sidecar, for the first time or again at the same address for its backend server. */
+  /** Starts a sidecar, or restarts it with the same address for its backend server. */
   async startSidecar(name: string): Promise<void> {
-    const backend = this.desks.get(name) ?? ANY;
+    const backend = this.sidecarAddresses.get(name) ?? ANY_PORT;
     const settings = {
       ...{ role: 'sidecar', cluster: 'local', instance: name, zone: this.zoneOf(name) },
-      listen: { backend, operators: ANY },
-      entries: [...this.peers.values()],
+      listen: { backend, operators: ANY_PORT },
+      entries: [...this.peerAddresses.values()],
       ...this.overrides.sidecar,
     };
     await this.startDaemon(name, settings);
-    this.desks.set(name, await this.processes.waitFor(name, /backend server on ([\d.:]+)/));
+    this.sidecarAddresses.set(
+      name,
+      await this.processes.waitFor(name, /backend server on ([\d.:]+)/),
+    );
   }
 
-  /** Starts a backend server beside its sidecar, for the first time or again. */
+  /** Starts or restarts the backend server of a running sidecar. */
   async startBackendServer(name: string): Promise<void> {
     const { slots, connections } = this.size;
-    const desk = this.desks.get(name.replace('backend', 'sidecar'))!;
+    const sidecarAddress = this.sidecarAddresses.get(name.replace('backend', 'sidecar'))!;
     const { recorder } = this.overrides;
     this.processes.start(name, 'backend', [
-      ...['--sidecar', desk, '--slots', `${slots}`, '--connections', `${connections}`],
+      ...['--sidecar', sidecarAddress, '--slots', `${slots}`, '--connections', `${connections}`],
       ...(recorder === undefined ? [] : ['--recorder', recorder, '--name', name]),
     ]);
     const listening = await this.processes.waitFor(name, /listening on ([\d.:]+)/);
-    this.backends.set(name, listening);
+    this.backendAddresses.set(name, listening);
   }
 
-  /** Tells a backend server stand-in to show faults. */
+  /** Sets the faults that a backend server stand-in simulates. */
   async putFaults(backend: string, faults: Partial<StandInFaults>): Promise<void> {
     const { body } = await request(`${this.backendAddress(backend)}/faults`, {
       method: 'PUT',
@@ -148,7 +151,7 @@
     await body.dump();
   }
 
-  /** How often each task was started, over all backend servers. */
+  /** Number of starts of each task, summed over all backend servers. */
   async starts(): Promise<Map<string, number>> {
     const totals = new Map<string, number>();
     await Promise.all(
@@ -163,7 +166,7 @@
     return totals;
   }
 
-  /** Stops all processes in good order. */
+  /** Stops all processes gracefully. */
   async stop(): Promise<void> {
     await this.processes.stopAll();
     await rm(this.folder, { recursive: true, force: true });
@@ -184,7 +187,10 @@
     const file = path.join(this.folder, `${name}.yaml`);
     await writeFile(file, stringify(settings));
     this.processes.start(name, this.overrides.program ?? 'magnoliakeeld', ['--config', file]);
-    this.operators.set(name, await this.processes.waitFor(name, /for operators on ([\d.:]+)/));
+    this.operatorAddresses.set(
+      name,
+      await this.processes.waitFor(name, /for operators on ([\d.:]+)/),
+    );
   }
 
   private zoneOf(name: string): string {
@@ -193,8 +199,8 @@
   }
 }
 
-const ANY = '127.0.0.1:0';
+const ANY_PORT = '127.0.0.1:0';
 
 function names(prefix: string, count: number): string[] {
-  return Array.from({ length: count }, (_, at) => `${prefix}-${at + 1}`);
+  return Array.from({ length: count }, (_, index) => `${prefix}-${index + 1}`);
 }
--- a/tools/harness/ClusterSize.ts
+++ b/tools/harness/ClusterSize.ts
@@ -1,9 +1,9 @@
-/** How many processes a cluster on one machine has. */
+/** Dimensions of a cluster on one machine. */
 export default interface ClusterSize {
   readonly entries: number;
-  /** Sidecars, each with its backend server. */
+  /** Number of backend servers, each with its own sidecar. */
   readonly backends: number;
-  /** Slots of each backend server. */
+  /** Slots per backend server: tasks that it runs at the same time. */
   readonly slots: number;
   readonly connections: number;
   readonly zones: number;
--- a/tools/harness/ProcessWatch.ts
+++ b/tools/harness/ProcessWatch.ts
@@ -1,4 +1,4 @@
-/** What a measuring program wants to be told of the processes it started. */
+/** Callbacks on the output and exit of the processes that a program started. */
 export default interface ProcessWatch {
   /** Called with each line that a process prints. */
   readonly printed?: (name: string, line: string) => void;
--- a/tools/harness/Processes.ts
+++ b/tools/harness/Processes.ts
@@ -2,7 +2,7 @@
 import { createInterface } from 'node:readline';
 import type ProcessWatch from './ProcessWatch';
 
-/** The processes that a measuring program started. They are ended by id, and only these. */
+/** Child processes of a test or measurement program. Signals go to these processes only, by process id. */
 export default class Processes {
   private readonly children = new Map<string, ChildProcess>();
 
@@ -11,7 +11,7 @@
   private readonly listeners = new Set<() => void>();
 
   private constructor(private readonly watch: ProcessWatch) {
-    // Whatever ends this program, nothing that it started stays behind.
+    // No child process may outlive this program.
     process.once('exit', () => this.children.forEach((child) => child.kill('SIGKILL')));
   }
 
@@ -20,24 +20,24 @@
     return new Processes(watch);
   }
 
-  /** Names of the processes started and not ended. */
+  /** Names of the running processes. */
   get names(): string[] {
     return [...this.children.keys()];
   }
 
-  /** Process id of a process that runs. */
+  /** Process id of a running process; throws if it isn't running. */
   pid(name: string): number {
     const pid = this.children.get(name)?.pid;
     if (pid === undefined) throw new Error(`${name} does not run`);
     return pid;
   }
 
-  /** Starts one of the built programs of `dist`. A name stands for one process at a time. */
+  /** Starts one of the built programs in `dist`. A name can be reused once its process has ended. */
   start(name: string, program: string, args: readonly string[]): void {
     this.spawn(name, [`dist/${program}.js`, ...args]);
   }
 
-  /** Starts Node with these arguments, and with these variables besides the own ones. */
+  /** Starts Node with these arguments, and with `env` added to this process's environment. */
   spawn(name: string, args: readonly string[], env: Readonly<Record<string, string>> = {}): void {
     if (this.children.has(name)) throw new Error(`${name} runs already`);
     const child = spawn(process.execPath, args, {
@@ -61,28 +61,31 @@
     });
   }
 
-  /** Everything that a process has printed. */
+  /** All lines that a process has printed. */
   output(name: string): readonly string[] {
     return this.lines.get(name) ?? [];
   }
 
-  /** Prints all that the processes have printed, for finding a fault. */
+  /** Prints the output of all processes, for debugging. */
   printAll(): void {
     this.lines.forEach((lines, name) => {
       lines.forEach((line) => process.stdout.write(`${name}: ${line}\n`));
     });
   }
 
-  /** Waits for a printed line and returns the pattern's first group. */
-  async waitFor(name: string, pattern: RegExp, limitMs = 15_000): Promise<string> {
+  /**
+   * Waits for a printed line that matches, and returns the pattern's first group, or the whole match if it has none.
+   * Throws after `timeoutMs` milliseconds, or once the process has ended without such a line.
+   */
+  async waitFor(name: string, pattern: RegExp, timeoutMs = 15_000): Promise<string> {
     const started = performance.now();
-    while (performance.now() - started < limitMs) {
+    while (performance.now() - started < timeoutMs) {
       const match = this.output(name)
         .map((line) => pattern.exec(line))
         .find((found) => found !== null);
       if (match) return match[1] ?? match[0];
       if (!this.children.has(name)) break;
-      await this.nextEvent(limitMs);
+      await this.nextEvent(timeoutMs);
     }
     throw new Error(`${name} did not print ${pattern}:\n${this.output(name).join('\n')}`);
   }
@@ -92,7 +95,7 @@
     this.children.get(name)?.kill(signal);
   }
 
-  /** Resolves with the exit code once a process has ended. */
+  /** Resolves with the exit code once a process has ended; null if a signal ended it or it isn't running. */
   async ended(name: string): Promise<number | null> {
     const child = this.children.get(name);
     if (!child || child.exitCode !== null) return child?.exitCode ?? null;
@@ -101,19 +104,19 @@
     });
   }
 
-  /** Ends all processes, in good order if they stop by themselves within the limit. */
-  async stopAll(limitMs = 5000): Promise<void> {
+  /** Sends SIGTERM to all processes, and SIGKILL to those still running after `timeoutMs` milliseconds. */
+  async stopAll(timeoutMs = 5000): Promise<void> {
     const children = [...this.children.values()];
     children.forEach((child) => child.kill('SIGTERM'));
     const all = Promise.all([...this.children.keys()].map((name) => this.ended(name)));
-    const timeout = setTimeout(() => children.forEach((child) => child.kill('SIGKILL')), limitMs);
+    const timeout = setTimeout(() => children.forEach((child) => child.kill('SIGKILL')), timeoutMs);
     await all;
     clearTimeout(timeout);
   }
 
-  private nextEvent(limitMs: number): Promise<void> {
+  private nextEvent(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
-      const timeout = setTimeout(done, limitMs);
+      const timeout = setTimeout(done, timeoutMs);
       const { listeners } = this;
       function done(): void {
         clearTimeout(timeout);
--- a/tools/harness/TcpProxy.ts
+++ b/tools/harness/TcpProxy.ts
@@ -3,41 +3,41 @@
 import { type Duplex, Transform } from 'node:stream';
 import type TimerService from '../../src/core/TimerService';
 
-/** Which connections a fault is for. */
-interface Fault {
-  /** The sides whose bytes are passed on no more: `near` dialled, `far` was dialled. Both when left out. */
+/** Selects the connections, and their directions, that a fault affects. */
+interface ConnectionFault {
+  /** The sides whose bytes are no longer forwarded: `near` dialled the proxy, `far` is its target. Both by default. */
   readonly sides?: readonly Side[];
-  /** Only connections dialled from this IP address; all when left out. */
+  /** Only connections dialled from this IP address; all by default. */
   readonly from?: string;
-  /** Also the connections that are made until the fault ends. */
+  /** Whether connections made while the fault lasts are affected too. */
   readonly alsoNew?: boolean;
 }
 
 type Side = 'near' | 'far';
 
 /** One connection through the proxy. */
-interface Pair {
+interface ProxiedConnection {
   readonly near: Socket;
   readonly far: Socket;
-  /** What each side's bytes are passed to. */
-  readonly onto: Readonly<Record<Side, Duplex>>;
+  /** The stream to which each side's bytes are piped. */
+  readonly sinks: Readonly<Record<Side, Duplex>>;
   readonly from: string;
-  readonly frozen: Map<Fault, readonly Side[]>;
+  readonly frozen: Map<ConnectionFault, readonly Side[]>;
 }
 
-/** Stands between processes on TCP: counts their connections and can delay, freeze, cut or break them. */
+/** A TCP proxy that counts connections and can delay, freeze, block, reset or break them. */
 export default class TcpProxy {
-  /** How many connections were made so far. */
+  /** Number of connections accepted so far. */
   connections = 0;
 
-  /** How long each piece of data is held up, ms. */
+  /** Delay of each chunk of data, in milliseconds. */
   delayMs = 0;
 
-  private readonly pairs = new Set<Pair>();
+  private readonly pairs = new Set<ProxiedConnection>();
 
-  private readonly faults = new Set<Fault>();
+  private readonly freezes = new Set<ConnectionFault>();
 
-  private readonly cuts = new Set<Fault>();
+  private readonly blocks = new Set<ConnectionFault>();
 
   private readonly server: Server;
 
@@ -45,10 +45,10 @@
     private readonly target: string,
     private readonly timer: TimerService | undefined,
   ) {
-    this.server = createServer((socket) => this.join(socket));
+    this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Starts a proxy to the address, at a free port unless one is given; delays need a timer. */
+  /** Starts a proxy to `target` that listens on `address`, by default on a free port. `delayMs` has no effect without a timer. */
   static async to(
     target: string,
     address = '127.0.0.1:0',
@@ -63,56 +63,56 @@
     return proxy;
   }
 
-  /** Where the proxy listens. */
+  /** The address on which the proxy listens, "ip:port". */
   get address(): string {
     const { address, port } = this.server.address() as AddressInfo;
     return `${address}:${port}`;
   }
 
-  /** Passes no more bytes of the connections there are, and keeps them. New ones work unless named. */
-  freeze(fault: Fault = {}): void {
-    if (fault.alsoNew) this.faults.add(fault);
+  /** Stops forwarding bytes on existing connections but keeps them open. New ones work unless `alsoNew` is set. */
+  freeze(fault: ConnectionFault = {}): void {
+    if (fault.alsoNew) this.freezes.add(fault);
     this.pairs.forEach((pair) => this.apply(fault, pair));
   }
 
-  /** What one fault held back goes on, on connections that are still there. */
-  thaw(fault: Fault): void {
-    this.faults.delete(fault);
+  /** Ends a freeze: its connections that are still open forward again, unless another freeze holds them. */
+  thaw(fault: ConnectionFault): void {
+    this.freezes.delete(fault);
     this.pairs.forEach((pair) => {
       const sides = pair.frozen.get(fault) ?? [];
       pair.frozen.delete(fault);
       const others = [...pair.frozen.values()].flat();
-      sides.filter((side) => !others.includes(side)).forEach((side) => this.pass(pair, side));
+      sides.filter((side) => !others.includes(side)).forEach((side) => this.forward(pair, side));
     });
   }
 
-  /** Resets the connections that this fault froze, or any did, as a host does that has forgotten them. */
-  reset(fault?: Fault): void {
-    if (fault) this.faults.delete(fault);
+  /** Resets the connections that this fault froze (by default, all frozen ones), like a host that has lost their state. */
+  reset(fault?: ConnectionFault): void {
+    if (fault) this.freezes.delete(fault);
     [...this.pairs]
       .filter(({ frozen }) => (fault ? frozen.has(fault) : frozen.size > 0))
       .forEach(({ near, far }) => [near, far].forEach((socket) => socket.resetAndDestroy()));
   }
 
-  /** Breaks the connections there are. */
+  /** Closes all existing connections, or those dialled from the given IP address. */
   break(from?: string): void {
     [...this.pairs]
       .filter((pair) => from === undefined || pair.from === from)
       .forEach(({ near, far }) => [near, far].forEach((socket) => socket.destroy()));
   }
 
-  /** Breaks connections and makes none until they are mended. */
-  cut(fault: Fault): void {
-    this.cuts.add(fault);
+  /** Closes connections and rejects new ones until `mend` is called with the same fault. */
+  cut(fault: ConnectionFault): void {
+    this.blocks.add(fault);
     this.break(fault.from);
   }
 
-  /** Makes connections again. */
-  mend(fault: Fault): void {
-    this.cuts.delete(fault);
+  /** Accepts connections again that `cut` rejected. */
+  mend(fault: ConnectionFault): void {
+    this.blocks.delete(fault);
   }
 
-  /** Resolves when every connection has ended. */
+  /** Resolves when every connection has closed. */
   async idle(): Promise<void> {
     const sockets = [...this.pairs].flatMap(({ near, far }) => [near, far]);
     await Promise.all(
@@ -120,28 +120,28 @@
     );
   }
 
-  /** Ends the proxy and its connections. */
+  /** Closes the proxy and its connections. */
   close(): void {
     this.server.close();
     this.break();
   }
 
-  private join(near: Socket): void {
+  private accept(near: Socket): void {
     this.connections += 1;
     const from = near.remoteAddress ?? '';
     near.on('error', () => near.destroy());
-    if ([...this.cuts].some((cut) => concerns(cut, from))) {
+    if ([...this.blocks].some((block) => affects(block, from))) {
       near.resetAndDestroy();
       return;
     }
     const { hostname, port } = new URL(`http://${this.target}`);
     const far = connect(Number(port), hostname);
     far.on('error', () => far.destroy());
-    const onto = { near: this.delayed(far), far: this.delayed(near) };
-    const pair: Pair = { near, far, onto, from, frozen: new Map() };
+    const sinks = { near: this.delayed(far), far: this.delayed(near) };
+    const pair: ProxiedConnection = { near, far, sinks, from, frozen: new Map() };
     this.pairs.add(pair);
-    BOTH.forEach((side) => this.pass(pair, side));
-    this.faults.forEach((fault) => this.apply(fault, pair));
+    BOTH_SIDES.forEach((side) => this.forward(pair, side));
+    this.freezes.forEach((fault) => this.apply(fault, pair));
     near.once('close', () => far.destroy());
     far.once('close', () => near.destroy());
     [near, far].forEach((socket) =>
@@ -151,34 +151,34 @@
     );
   }
 
-  private apply(fault: Fault, pair: Pair): void {
-    if (!concerns(fault, pair.from)) return;
-    const sides = fault.sides ?? BOTH;
+  private apply(fault: ConnectionFault, pair: ProxiedConnection): void {
+    if (!affects(fault, pair.from)) return;
+    const sides = fault.sides ?? BOTH_SIDES;
     pair.frozen.set(fault, sides);
     sides.forEach((side) => pair[side].unpipe().pause());
   }
 
-  private pass(pair: Pair, side: Side): void {
-    pair[side].pipe(pair.onto[side]);
+  private forward(pair: ProxiedConnection, side: Side): void {
+    pair[side].pipe(pair.sinks[side]);
   }
 
-  /** What passes on to the socket after the delay in force, in order. */
+  /** A stream that forwards to the socket in order, each chunk after the current `delayMs`. */
   private delayed(socket: Socket): Duplex {
     const { timer } = this;
     if (!timer) return socket;
-    const line = new Transform({
+    const delayLine = new Transform({
       transform: (chunk, _encoding, done) => {
         if (this.delayMs > 0) timer.after(this.delayMs, () => done(null, chunk));
         else done(null, chunk);
       },
     });
-    line.pipe(socket);
-    return line;
+    delayLine.pipe(socket);
+    return delayLine;
   }
 }
 
-const BOTH: readonly Side[] = ['near', 'far'];
+const BOTH_SIDES: readonly Side[] = ['near', 'far'];
 
-function concerns({ from }: Fault, dialler: string): boolean {
+function affects({ from }: ConnectionFault, dialler: string): boolean {
   return from === undefined || from === dialler;
 }
