--- a/tools/measure/Answered.ts
+++ b/tools/measure/Answered.ts
@@ -1,10 +1,10 @@
 import type Arrival from './Arrival';
 
-/** What became of an arrival. */
+/** How an arrival was answered. */
 export default interface Answered {
   readonly arrival: Arrival;
-  /** The outcome as the answer names it, or "broken" when the connection broke. */
+  /** Outcome in the answer's header (otherwise its status code), or "broken" when the connection broke. */
   readonly outcome: string;
-  /** From the time at which it was due to be submitted to its answer. */
+  /** Time from the scheduled submission to the answer, in milliseconds. */
   readonly responseMs: number;
 }
--- a/tools/measure/Arrival.ts
+++ b/tools/measure/Arrival.ts
@@ -1,15 +1,15 @@
-/** A request or a job that a caller submits at a given time, whatever became of earlier ones. */
+/** A request or a job that a caller submits at a scheduled time, independently of earlier ones (open-loop load). */
 export default interface Arrival {
   /** Milliseconds since the start of the load. */
   readonly atMs: number;
   readonly kind: 'request' | 'job';
-  /** How long each task runs, in milliseconds. */
+  /** Run time of each task, in milliseconds. */
   readonly runs: readonly number[];
   readonly team: string;
-  /** Place in the list of entries of the one that the balancer picks. */
+  /** Index of the entry that the load balancer picks. */
   readonly entry: number;
-  /** The caller cancels this long after submission. */
+  /** Time from submission to the caller's cancellation, in milliseconds. */
   readonly cancelAfterMs?: number;
-  /** False for arrivals that only warm the processes up. */
+  /** False during the warm-up. */
   readonly measured: boolean;
 }
--- a/tools/measure/CountReader.ts
+++ b/tools/measure/CountReader.ts
@@ -5,28 +5,28 @@
   readonly bytes: number;
 }
 
-/** What one daemon prints of itself. */
+/** Counters that a daemon prints on SIGUSR2. */
 interface Counts {
   readonly sent: Readonly<Record<string, KindCount>>;
   readonly cpuMs: number;
   readonly rssBytes: number;
 }
 
-/** Sums over the daemons of one role, or of both. */
+/** Sums over the daemons of one role. */
 interface Totals {
   readonly sent: Record<string, { messages: number; bytes: number }>;
   cpuMs: number;
   mostRssBytes: number;
 }
 
-/** Asks running daemons for their counts and sums them up over a time. */
+/** Reads the counters of running daemons and sums up their growth over a measurement interval. */
 export default class CountReader {
-  private readonly asked = new Map<string, number>();
+  private readonly reads = new Map<string, number>();
 
-  /** Counts of each daemon at the start of the time. */
+  /** Counters of each daemon at the start of the interval. */
   private readonly before = new Map<string, Counts>();
 
-  /** What daemons had counted when they were stopped within the time. */
+  /** Final and initial counters of daemons that were stopped within the interval. */
   private readonly stopped: [string, Counts, Counts | undefined][] = [];
 
   private constructor(private readonly processes: Processes) {}
@@ -36,21 +36,21 @@
     return new CountReader(processes);
   }
 
-  /** Begins the time that the totals are for. */
+  /** Starts the measurement interval. */
   async begin(): Promise<void> {
     await Promise.all(
       this.daemons().map(async (name) => this.before.set(name, await this.read(name))),
     );
   }
 
-  /** Keeps the counts of a daemon that is about to be stopped. */
+  /** Records the counters of a daemon that is about to be stopped. */
   async keep(name: string): Promise<void> {
     this.stopped.push([name, await this.read(name), this.before.get(name)]);
     this.before.delete(name);
-    this.asked.delete(name);
+    this.reads.delete(name);
   }
 
-  /** What all daemons have counted since `begin`, by role. */
+  /** Growth of all daemons' counters since `begin`, by role. */
   async totals(): Promise<Record<'entry' | 'sidecar', Totals>> {
     const totals = { entry: emptyTotals(), sidecar: emptyTotals() };
     const add = (name: string, now: Counts, before?: Counts) =>
@@ -67,8 +67,8 @@
   }
 
   private async read(name: string): Promise<Counts> {
-    const number = (this.asked.get(name) ?? 0) + 1;
-    this.asked.set(name, number);
+    const number = (this.reads.get(name) ?? 0) + 1;
+    this.reads.set(name, number);
     this.processes.signal(name, 'SIGUSR2');
     const text = await this.processes.waitFor(name, new RegExp(`^counts ${number} (.*)`));
     return JSON.parse(text) as Counts;
--- a/tools/measure/LoadGenerator.ts
+++ b/tools/measure/LoadGenerator.ts
@@ -5,9 +5,9 @@
 import type Answered from './Answered';
 
 /**
- * Submits arrivals at their times, whether or not earlier ones are answered.
- * Like a balancer it turns to the next entry when one can't be reached, and
- * like a caller it submits a job again whose connection broke.
+ * Open-loop load generator: submits arrivals on schedule, whether or not earlier ones are answered.
+ * Like a load balancer it tries the next entry when one can't be reached, and
+ * like a caller it resubmits a job whose connection broke.
  */
 export default class LoadGenerator {
   private readonly agent = new Agent({ connections: 4096, headersTimeout: 0, bodyTimeout: 0 });
@@ -19,12 +19,12 @@
     private readonly deadlineMs: number | undefined,
   ) {}
 
-  /** Creates a generator for the cluster's callers' addresses. */
+  /** Creates a generator that calls the cluster's entries; single requests get the deadline, in milliseconds. */
   static create(cluster: Cluster, deadlineMs?: number): LoadGenerator {
     return new LoadGenerator(cluster, deadlineMs);
   }
 
-  /** Submits all arrivals and returns what became of them, when the last is answered. */
+  /** Submits all arrivals, and returns their outcomes once the last is answered. */
   async run(arrivals: readonly Arrival[]): Promise<Answered[]> {
     this.startedAt = performance.now();
     const answers = arrivals.map(async (arrival) => {
@@ -41,9 +41,13 @@
     const headers: Record<string, string> = { 'magnoliakeel-team': arrival.team };
     if (this.deadlineMs) headers['magnoliakeel-deadline-ms'] = String(this.deadlineMs);
     const path = '/v1/services/booking/requests';
-    for (let tried = 0; tried < TRIES; tried += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       try {
-        const res = await this.send(arrival.entry + tried, path, { method: 'POST', headers, body });
+        const res = await this.send(arrival.entry + attempt, path, {
+          method: 'POST',
+          headers,
+          body,
+        });
         return this.answered(arrival, res);
       } catch (error) {
         if (!isUnsent(error)) return this.answered(arrival, 'broken');
@@ -61,10 +65,10 @@
     };
     const path = `/v1/services/booking/jobs/${id}`;
     this.cancelLater(arrival, path, headers);
-    for (let tried = 0; tried < TRIES; tried += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       try {
         const init = { method: 'PUT', headers, body } as const;
-        const res = await this.send(arrival.entry + tried, `${path}?wait=${WAIT_MS}`, init);
+        const res = await this.send(arrival.entry + attempt, `${path}?wait=${WAIT_MS}`, init);
         if (res !== 'unknown') return this.answered(arrival, res);
       } catch {
         await sleep(RETRY_MS);
@@ -100,7 +104,7 @@
   }
 }
 
-const TRIES = 20;
+const MAX_ATTEMPTS = 20;
 const RETRY_MS = 200;
 const WAIT_MS = 60_000;
 
--- a/tools/measure/RunResult.ts
+++ b/tools/measure/RunResult.ts
@@ -1,23 +1,24 @@
 import type CountReader from './CountReader';
 import type Stretches from './Stretches';
 
-/** What one run of a scenario with a policy gave. */
+/** Results of one run of a scenario with a policy. */
 export default interface RunResult {
   readonly scenario: string;
   readonly policy: string;
   readonly stretches: Stretches;
   readonly ideal: Stretches;
-  /** Answers by outcome. */
+  /** Number of answers by outcome. */
   readonly outcomes: Readonly<Record<string, number>>;
-  /** Tasks offered, and those in completed answers. */
+  /** Number of tasks submitted. */
   readonly offered: number;
+  /** Number of tasks in completed answers. */
   readonly completed: number;
-  /** Tasks in completed answers for each second between the warm-up and the end of the load, over what the slots could do. */
+  /** Share of the slots' time, between the warm-up and the end of the load, that went to tasks of completed answers; 1 is full use. */
   readonly throughput: number;
-  /** Starts that backend servers saw of tasks that were started before. */
+  /** Number of tasks that were started more than once. */
   readonly doubled: number;
-  /** Counts at the end of the load. */
+  /** Counters of the daemons at the end of the load. */
   readonly counts: Awaited<ReturnType<CountReader['totals']>>;
-  /** Counts once the last answer was there. */
+  /** Counters of the daemons after the last answer. */
   readonly final: RunResult['counts'];
 }
--- a/tools/measure/Scenario.ts
+++ b/tools/measure/Scenario.ts
@@ -2,17 +2,17 @@
 import type CountReader from './CountReader';
 import type Workload from './Workload';
 
-/** A load and what goes wrong meanwhile. */
+/** A load and the fault injected during it. */
 export default interface Scenario {
   readonly about: string;
-  /** How long callers of single requests wait at most; none by default. */
+  /** Deadline of single requests, in milliseconds; none by default. */
   readonly deadlineMs?: number;
-  /** Slots of the ideal queue when it differs: backend servers with a fault are left out. */
+  /** Slots of the ideal queue, without those of faulty backend servers; all slots by default. */
   readonly idealSlots?: number;
-  /** Adds the arrivals between the two times. */
+  /** Adds the arrivals of the given time span, in milliseconds since the start of the load. */
   readonly load: (workload: Workload, fromMs: number, toMs: number) => unknown;
-  /** Done once, at the middle of the load. */
+  /** Injects a fault once, at the middle of the load. */
   readonly fault?: (cluster: Cluster, counts: CountReader) => Promise<void>;
-  /** Done before the load. */
+  /** Runs before the load starts. */
   readonly prepare?: (cluster: Cluster) => Promise<void>;
 }
--- a/tools/measure/Stretches.ts
+++ b/tools/measure/Stretches.ts
@@ -1,7 +1,7 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 import type Arrival from './Arrival';
 
-/** How much longer answers took than the work itself, apart for requests and jobs. */
+/** Distributions of stretch (response time / least possible run time), separate for requests and jobs. */
 export default class Stretches {
   readonly request = emptyHistogram();
 
@@ -15,17 +15,17 @@
   }
 
   /**
-   * Adds an answer. The ideal for a job is its longest task, or all its tasks
-   * spread over the slots if that is longer.
+   * Adds an answer with its response time in milliseconds. The least possible time of a job is the longer of its
+   * longest task and its total work divided by the slots.
    */
   add({ kind, runs, team }: Arrival, responseMs: number, slots: number): void {
     const sum = runs.reduce((total, run) => total + run, 0);
-    const least = Math.max(sum / slots, ...runs);
-    const stretch = Math.max(1, Math.round((responseMs / least) * SCALE));
+    const minimumMs = Math.max(sum / slots, ...runs);
+    const stretch = Math.max(1, Math.round((responseMs / minimumMs) * SCALE));
     if (team !== GREEDY_TEAM) this[kind].recordValue(stretch);
   }
 
-  /** Mean and percentiles of requests or jobs; undefined without any. */
+  /** Mean and percentiles of requests or jobs; undefined if there were none. */
   summary(kind: 'request' | 'job'): Summary | undefined {
     const histogram = this[kind];
     if (histogram.totalCount === 0) return undefined;
@@ -34,7 +34,7 @@
   }
 }
 
-/** Stretch as a table shows it. */
+/** Summary statistics of stretch. */
 interface Summary {
   readonly mean: number;
   readonly p50: number;
@@ -42,9 +42,10 @@
   readonly p999: number;
 }
 
+/** Histograms hold integers, so stretch is recorded in thousandths. */
 const SCALE = 1000;
 
-/** Its own answers are not measured, only what it does to others. */
+/** Answers to this team are left out: only its effect on other teams is measured. */
 const GREEDY_TEAM = 'greedy';
 
 function emptyHistogram(): Histogram {
--- a/tools/measure/describeResult.ts
+++ b/tools/measure/describeResult.ts
@@ -1,7 +1,7 @@
 import type RunResult from './RunResult';
 import type Stretches from './Stretches';
 
-/** A run's figures as lines of text. */
+/** Formats the results of a run as text for people. */
 export default function describeResult(result: RunResult): string {
   return [
     `${result.scenario}, ${result.policy}`,
@@ -17,11 +17,11 @@
 }
 
 function stretchLine(kind: 'request' | 'job', { stretches, ideal }: RunResult): string {
-  const found = stretches.summary(kind);
-  const best = ideal.summary(kind);
-  if (!found || !best) return '';
-  const ratio = (found.p99 / best.p99).toFixed(3);
-  return `  ${kind} stretch: ${summaryText(found)}; ideal ${summaryText(best)}; p99 ${ratio} of ideal`;
+  const measured = stretches.summary(kind);
+  const idealSummary = ideal.summary(kind);
+  if (!measured || !idealSummary) return '';
+  const ratio = (measured.p99 / idealSummary.p99).toFixed(3);
+  return `  ${kind} stretch: ${summaryText(measured)}; ideal ${summaryText(idealSummary)}; p99 ${ratio} of ideal`;
 }
 
 function summaryText(summary: NonNullable<ReturnType<Stretches['summary']>>): string {
@@ -39,7 +39,7 @@
   return `  messages per task: ${(messages / offered).toFixed(3)}, ${Math.round(bytes / offered)} bytes (${kinds})`;
 }
 
-/** Starts that did not lead to a completed answer, and by what they ended. */
+/** Starts whose task was not part of a completed answer, with their causes. */
 function wasteLine({ final, completed, offered }: RunResult): string {
   const sums = sumKinds(final);
   const starts = sums.find(([kind]) => kind === 'start')?.[1].messages ?? 0;
--- a/tools/measure/main.ts
+++ b/tools/measure/main.ts
@@ -70,7 +70,7 @@
   if (flags.plot) await writeFile(flags.plot, plotStretches(results));
 }
 
-/** Baselines are compared under steady loads; faults are measured with credits. */
+/** By default, steady and mixed loads run with all policies and the other scenarios with credits only. */
 function policiesFor(scenario: string, { policy }: Flags): string[] {
   if (policy) return policy.split(',');
   return /^(steady|mixed)/.test(scenario) ? POLICIES : ['credits'];
--- a/tools/measure/measuredManifest.ts
+++ b/tools/measure/measuredManifest.ts
@@ -1,4 +1,4 @@
-/** The manifest that measurements run with: one service and two teams of equal share. */
+/** The manifest for measurements: one service, and two teams with equal shares. */
 const measuredManifest = {
   services: [
     {
--- a/tools/measure/replayIdeal.ts
+++ b/tools/measure/replayIdeal.ts
@@ -2,8 +2,8 @@
 import Stretches from './Stretches';
 
 /**
- * What the same arrivals would get from one queue with perfect knowledge: each
- * task takes the slot that is free first, in the order of arrival.
+ * Stretches of the same arrivals in an ideal single queue with perfect knowledge: in the
+ * order of arrival, each task runs in the slot that becomes free first.
  */
 export default function replayIdeal(
   arrivals: readonly Arrival[],
--- a/tools/measure/runScenario.ts
+++ b/tools/measure/runScenario.ts
@@ -21,11 +21,11 @@
   readonly seed: number;
   /** Length of the load after the warm-up. */
   readonly lengthMs: number;
-  /** Factor by which tasks, hops and the time between arrivals are longer than usual. */
+  /** Factor that lengthens tasks, network delays and the time between arrivals. */
   readonly slower: number;
 }
 
-/** Runs a scenario on real processes and measures it against the ideal queue. */
+/** Runs a scenario on real processes and compares it with the ideal queue. */
 export default async function runScenario(options: RunOptions): Promise<RunResult> {
   const scenario = scenarios[options.scenario]!;
   const arrivals = arrivalsOf(scenario, options);
@@ -73,7 +73,7 @@
   return cluster;
 }
 
-/** Counts stop with the load, so that the silence while the last tasks run does not count. */
+/** Reads the counters when the load ends, so that the quiet time while the last tasks run is left out. */
 async function countAtEnd(counts: CountReader, afterMs: number): Promise<RunResult['counts']> {
   await sleep(afterMs);
   return counts.totals();
