--- a/tools/measureCapacity/ByteMeter.ts
+++ b/tools/measureCapacity/ByteMeter.ts
@@ -1,20 +1,20 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 
-/** Stands between two processes on TCP and counts the bytes that pass in each direction. */
+/** A TCP proxy that counts the bytes forwarded in each direction. */
 export default class ByteMeter {
-  /** Bytes from the dialling side so far. */
+  /** Total bytes sent by the dialling side. */
   sent = 0;
 
-  /** Bytes to the dialling side so far. */
+  /** Total bytes received by the dialling side. */
   received = 0;
 
   private readonly server: Server;
 
   private constructor(private readonly target: string) {
-    this.server = createServer({ noDelay: true }, (socket) => this.join(socket));
+    this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
 
-  /** Starts a meter before the address. */
+  /** Starts a meter that forwards to the address. */
   static async to(target: string): Promise<ByteMeter> {
     const meter = new ByteMeter(target);
     await new Promise<void>((resolve) => {
@@ -23,12 +23,12 @@
     return meter;
   }
 
-  /** Where the meter listens. */
+  /** The address on which the meter listens, "ip:port". */
   get address(): string {
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  private join(near: Socket): void {
+  private accept(near: Socket): void {
     const { hostname, port } = new URL(`http://${this.target}`);
     const far = connect({ host: hostname, port: Number(port), noDelay: true });
     near.on('data', (chunk) => {
--- a/tools/measureCapacity/EntryLoad.ts
+++ b/tools/measureCapacity/EntryLoad.ts
@@ -5,11 +5,11 @@
 import StandInLinks from './StandInLinks';
 
 const LINK_PROCESSES = 2;
-const LINKS_EACH = 50;
+const LINKS_PER_PROCESS = 50;
 const SLOTS = 8;
 const TASK_MS = 50;
 
-/** What an action cost all entries together. */
+/** Resources used during an action, summed over all entries. */
 interface Cost {
   readonly seconds: number;
   readonly cpuMs: number;
@@ -18,14 +18,14 @@
   readonly messages: number;
 }
 
-/** Entries under load, each with stand-in sidecars of its own that take 50 ms for each task. */
+/** Entries under load, each with its own stand-in sidecars, whose tasks take 50 ms. */
 export default class EntryLoad {
   private constructor(
     private readonly cluster: Cluster,
     private readonly links: readonly StandInLinks[],
   ) {}
 
-  /** Starts so many entries with their links. */
+  /** Starts the given number of entries and opens their links. */
   static async start(entries: number): Promise<EntryLoad> {
     const size = { entries, backends: 0, slots: SLOTS, connections: 64, zones: 3 };
     const cluster = await Cluster.start(size, manifestOf(10));
@@ -40,34 +40,34 @@
     return new EntryLoad(cluster, links);
   }
 
-  /** Callers of the first entry. */
+  /** Creates a load on the first entry whose jobs have `jobSize` tasks. */
   callers(jobSize: number): Load {
     return Load.to(this.cluster.callersOf('entry-1'), jobSize, 0);
   }
 
-  /** Resident memory of the first entry, megabytes. */
+  /** Resident memory of the first entry, in megabytes of 1024 * 1024 bytes. */
   get memoryMb(): number {
     return this.sample()[0]!.rssMb;
   }
 
-  /** Runs an action and returns what it cost. */
+  /** Runs an action and returns the resources used during it. */
   async costOf(action: () => Promise<unknown>): Promise<Cost> {
     const before = this.sample();
-    const from = this.totals();
+    const startTotals = this.totals();
     await action();
     const after = this.sample();
-    const to = this.totals();
-    const cpuMs = after.map((each, at) => each.cpuMs - before[at]!.cpuMs);
+    const endTotals = this.totals();
+    const cpuMs = after.map((sample, index) => sample.cpuMs - before[index]!.cpuMs);
     return {
       seconds: (after[0]!.at - before[0]!.at) / 1000,
       cpuMs: cpuMs.reduce((sum, each) => sum + each, 0),
-      tasks: to.tasks - from.tasks,
-      bytes: to.bytes - from.bytes,
-      messages: to.messages - from.messages,
+      tasks: endTotals.tasks - startTotals.tasks,
+      bytes: endTotals.bytes - startTotals.bytes,
+      messages: endTotals.messages - startTotals.messages,
     };
   }
 
-  /** Ends all processes. */
+  /** Stops all processes. */
   async stop(): Promise<void> {
     await this.cluster.stop();
   }
@@ -89,6 +89,6 @@
 }
 
 async function openLinks(links: StandInLinks): Promise<StandInLinks> {
-  for (let count = 0; count < LINK_PROCESSES; count += 1) await links.add(LINKS_EACH);
+  for (let count = 0; count < LINK_PROCESSES; count += 1) await links.add(LINKS_PER_PROCESS);
   return links;
 }
--- a/tools/measureCapacity/ProcessSample.ts
+++ b/tools/measureCapacity/ProcessSample.ts
@@ -1,9 +1,9 @@
-/** What one process has used, as the operating system counts it. */
+/** Resource use of one process, as counted by the operating system. */
 export default interface ProcessSample {
-  /** Processor time since the process started, user and system, milliseconds. */
+  /** User and system CPU time since the process started, in milliseconds. */
   readonly cpuMs: number;
-  /** Resident memory, megabytes of 1024 * 1024 bytes. */
+  /** Resident memory, in megabytes of 1024 * 1024 bytes. */
   readonly rssMb: number;
-  /** Monotonic time of the sample, milliseconds. */
+  /** Monotonic time of the sample, in milliseconds. */
   readonly at: number;
 }
--- a/tools/measureCapacity/Series.ts
+++ b/tools/measureCapacity/Series.ts
@@ -2,14 +2,14 @@
 import spreadOf from './spreadOf';
 import type Spread from './Spread';
 
-/** One measured quantity over sizes, repeated in rounds; its slope is what a capacity plan multiplies. */
+/** A quantity measured at several sizes in repeated rounds; its slope is the cost per unit for capacity planning. */
 export default class Series {
   private readonly rounds = new Map<number, [size: number, value: number][]>();
 
   private constructor(
     readonly name: string,
     readonly unit: string,
-    /** What the sizes count; empty for a quantity without sizes. */
+    /** The unit of the sizes, such as "sidecar link"; empty for a quantity without sizes. */
     readonly per: string,
   ) {}
 
@@ -18,17 +18,17 @@
     return new Series(name, unit, per);
   }
 
-  /** Creates a series of a quantity that is only repeated. */
+  /** Creates a series of a quantity that does not depend on a size. */
   static of(name: string, unit: string): Series {
     return new Series(name, unit, '');
   }
 
-  /** Adds what a round measured at a size. */
+  /** Adds a value that a round measured at a size. */
   add(round: number, value: number, size = 0): void {
     this.rounds.set(round, [...(this.rounds.get(round) ?? []), [size, value]]);
   }
 
-  /** The growth for each unit of size, over the rounds. Undefined for a quantity without sizes. */
+  /** Growth per unit of size, over the rounds. Undefined for a quantity without sizes. */
   slope(): Spread | undefined {
     if (this.per === '') return undefined;
     return spreadOf([...this.rounds.values()].map((points) => fitLine(points).slope));
@@ -44,7 +44,7 @@
     });
   }
 
-  /** The whole series as plain data. */
+  /** The series as plain data, for JSON output. */
   toJSON(): object {
     const { name, unit, per } = this;
     const points = this.points().map(([size, values]) => ({ size, ...values }));
--- a/tools/measureCapacity/Spread.ts
+++ b/tools/measureCapacity/Spread.ts
@@ -1,4 +1,4 @@
-/** Repeated measurements of one quantity. */
+/** Median and range of repeated measurements of a quantity. */
 export default interface Spread {
   readonly median: number;
   readonly min: number;
--- a/tools/measureCapacity/StandInCounters.ts
+++ b/tools/measureCapacity/StandInCounters.ts
@@ -1,4 +1,4 @@
-/** What the stand-in links of one process have exchanged since its start. */
+/** Open stand-in links of one process, and the messages and tasks they have handled since its start. */
 export default interface StandInCounters {
   links: number;
   messagesReceived: number;
--- a/tools/measureCapacity/StandInLinks.ts
+++ b/tools/measureCapacity/StandInLinks.ts
@@ -2,10 +2,10 @@
 import type StandInReport from './StandInReport';
 
 const POLL_MS = 20;
-const LIMIT_MS = 30_000;
+const TIMEOUT_MS = 30_000;
 const PROGRAM = 'measureCapacity';
 
-/** Stand-in links to one entry, held by processes of their own, seen from the measuring program. */
+/** Stand-in sidecar links to one entry, opened by child processes and controlled by the measurement program. */
 export default class StandInLinks {
   private readonly opened: { readonly name: string; readonly links: number }[] = [];
 
@@ -18,42 +18,42 @@
     private readonly taskMs: number,
   ) {}
 
-  /** Creates the set for the entry at a peer address, without links. */
+  /** Creates an empty set of links to the entry at a peer address. */
   static to(processes: Processes, entry: string, slots: number, taskMs = 0): StandInLinks {
     return new StandInLinks(processes, entry, slots, taskMs);
   }
 
-  /** Links open now. */
+  /** Number of open links. */
   get count(): number {
     return this.opened.reduce((sum, { links }) => sum + links, 0);
   }
 
-  /** Opens further links, in one more process, and waits until they are open. */
+  /** Starts another process that opens this many links, and waits until they are open. */
   async add(links: number): Promise<void> {
     this.processCount += 1;
     const name = `links-${this.entry}-${this.processCount}`;
     const args = ['--name', name.replaceAll(/[^\w-]/g, '_'), '--links', `${links}`];
     const load = ['--slots', `${this.slots}`, '--task-ms', `${this.taskMs}`];
     this.processes.start(name, PROGRAM, ['stand-ins', '--entry', this.entry, ...args, ...load]);
-    await this.processes.waitFor(name, new RegExp(`report {"links":${links},`), LIMIT_MS);
+    await this.processes.waitFor(name, new RegExp(`report {"links":${links},`), TIMEOUT_MS);
     this.opened.push({ name, links });
   }
 
-  /** Ends the process that was added last, with its links. */
+  /** Stops the process that was added last, which closes its links. */
   async removeLast(): Promise<void> {
     const { name } = this.opened.pop()!;
     this.processes.signal(name, 'SIGTERM');
     await this.processes.ended(name);
   }
 
-  /** What all links have exchanged until now. */
+  /** The latest reports of all processes, merged. */
   report(): StandInReport {
     return this.opened.map(({ name }) => latest(this.processes.output(name))).reduce(merge);
   }
 
-  /** Waits until a report satisfies the condition, and returns it. */
+  /** Waits until the merged report satisfies the condition, and returns it. Throws after 30 s. */
   async until(condition: (report: StandInReport) => boolean): Promise<StandInReport> {
-    const deadline = performance.now() + LIMIT_MS;
+    const deadline = performance.now() + TIMEOUT_MS;
     while (performance.now() < deadline) {
       const report = this.report();
       if (condition(report)) return report;
@@ -61,7 +61,9 @@
         setTimeout(resolve, POLL_MS);
       });
     }
-    throw new Error(`the links did not get there: ${JSON.stringify(this.report())}`);
+    throw new Error(
+      `stand-in links did not reach the expected state within ${TIMEOUT_MS} ms: ${JSON.stringify(this.report())}`,
+    );
   }
 }
 
--- a/tools/measureCapacity/StandInReport.ts
+++ b/tools/measureCapacity/StandInReport.ts
@@ -1,19 +1,19 @@
-/** What a process of stand-in links tells about all its links together; counts are totals since its start. */
+/** Report of a process about all its stand-in links; counts are totals since its start. */
 export default interface StandInReport {
-  /** Links open now. */
+  /** Number of open links. */
   readonly links: number;
   readonly bytesReceived: number;
   readonly bytesSent: number;
   readonly messagesReceived: number;
   readonly messagesSent: number;
-  /** Tasks started and answered. */
+  /** Number of tasks that were started and answered. */
   readonly tasks: number;
-  /** Oldest of the views that the links know. */
+  /** Oldest view number among the links. */
   readonly view: number;
-  /** Wall-clock time at which the last link heard that view. */
+  /** Wall-clock time at which the last link received its view, in milliseconds. */
   readonly viewAt: number;
-  /** Oldest of the configurations that the links know. */
+  /** Oldest configuration version among the links. */
   readonly configuration: number;
-  /** Wall-clock time at which the last link heard that configuration. */
+  /** Wall-clock time at which the last link received its configuration, in milliseconds. */
   readonly configurationAt: number;
 }
--- a/tools/measureCapacity/StandInSidecar.ts
+++ b/tools/measureCapacity/StandInSidecar.ts
@@ -30,7 +30,7 @@
   readonly name: string;
   readonly service: string;
   readonly slots: number;
-  /** How long each task takes. */
+  /** Run time of each task, in milliseconds. */
   readonly taskMs: number;
 }
 
@@ -38,11 +38,11 @@
 const OUTPUT = Buffer.from(JSON.stringify({ output: 'x'.repeat(100) }));
 
 /**
- * The link of one sidecar to an entry, over a connection of its own and with
- * the messages of a real one, but without a ledger and a backend server.
+ * Stands in for one sidecar on a link to an entry: uses its own connection and
+ * sends the messages of a real sidecar, but has no ledger and no backend server.
  */
 export default class StandInSidecar {
-  /** Newest view and configuration heard, each with the wall-clock time of hearing. */
+  /** Newest view and configuration received, each with the wall-clock time of receipt in milliseconds. */
   view = { number: 0, at: 0 };
 
   configuration = { number: 0, at: 0 };
@@ -51,7 +51,7 @@
 
   private constructor(private readonly opts: StandInSidecarOptions) {}
 
-  /** Dials the entry and serves the link until it ends. */
+  /** Dials the entry and serves the link until it closes. */
   static async open(opts: StandInSidecarOptions): Promise<StandInSidecar> {
     const sidecar = new StandInSidecar(opts);
     const dialled = await ConnectNetwork.create(opts.timer).dial(opts.entry, sidecar.hello());
@@ -84,20 +84,20 @@
     this.link?.send(message);
   }
 
-  /** Notes a view and confirms it. */
-  heardView(viewNumber: bigint): void {
+  /** Records a view and confirms it. */
+  handleView(viewNumber: bigint): void {
     this.view = { number: Number(viewNumber), at: this.opts.timer.wall() };
     this.send({ case: 'fenced', value: create(FencedSchema, { viewNumber }) });
   }
 
-  /** Notes a configuration and reports it in force. */
-  heardConfiguration(version: bigint): void {
+  /** Records a configuration and reports that it is in effect. */
+  handleConfiguration(version: bigint): void {
     this.configuration = { number: Number(version), at: this.opts.timer.wall() };
     this.send({ case: 'inForce', value: create(InForceSchema, { version }) });
   }
 
-  /** Takes a task and answers it when its time is over, with the slot's next credit. */
-  run({ task, credit }: Start): void {
+  /** Accepts a task, and answers it after its run time with the slot's next credit. */
+  handleStart({ task, credit }: Start): void {
     const { timer, taskMs, counters } = this.opts;
     timer.after(taskMs, () => {
       counters.tasks += 1;
@@ -135,7 +135,7 @@
 }
 
 const handlers: MessageHandlers<StandInSidecar> = {
-  view: (sidecar, { number }) => sidecar.heardView(number),
-  configuration: (sidecar, { version }) => sidecar.heardConfiguration(version),
-  start: (sidecar, start) => sidecar.run(start),
+  view: (sidecar, { number }) => sidecar.handleView(number),
+  configuration: (sidecar, { version }) => sidecar.handleConfiguration(version),
+  start: (sidecar, start) => sidecar.handleStart(start),
 };
--- a/tools/measureCapacity/fitLine.ts
+++ b/tools/measureCapacity/fitLine.ts
@@ -1,4 +1,4 @@
-/** The line through points by least squares; with a single size its slope is 0. */
+/** Fits a line to the points by least squares; the slope is 0 if all points have the same x. */
 export default function fitLine(points: readonly (readonly [x: number, y: number])[]): {
   readonly slope: number;
   readonly base: number;
--- a/tools/measureCapacity/main.ts
+++ b/tools/measureCapacity/main.ts
@@ -15,14 +15,14 @@
 
 const ROUNDS = [1, 2, 3];
 
-/** The measures, in their order. Rounds run side by side unless they would slow one another. */
-const measures = [
-  { run: measureRecords, sideBySide: false },
-  { run: measureSidecarLinks, sideBySide: true },
-  { run: measureProcesses, sideBySide: true },
-  { run: measureSidecarTasks, sideBySide: true },
-  { run: measureEntryTasks, sideBySide: true },
-  { run: measureEntryLimit, sideBySide: false },
+/** The measurements, in order. Rounds run in parallel unless they would slow each other down. */
+const measurements = [
+  { run: measureRecords, parallel: false },
+  { run: measureSidecarLinks, parallel: true },
+  { run: measureProcesses, parallel: true },
+  { run: measureSidecarTasks, parallel: true },
+  { run: measureEntryTasks, parallel: true },
+  { run: measureEntryLimit, parallel: false },
 ];
 
 const cli = cac('measureCapacity');
@@ -43,24 +43,24 @@
 cli.parse();
 
 async function measure({ json, only = '' }: Flags): Promise<void> {
-  const chosen = measures.filter(({ run }) => run.name.includes(only));
-  for (const { run, sideBySide } of chosen) {
-    await rounds(run, sideBySide);
+  const selected = measurements.filter(({ run }) => run.name.includes(only));
+  for (const { run, parallel } of selected) {
+    await runRounds(run, parallel);
     const series = run.series();
     if (!json) series.forEach((each) => process.stdout.write(`${printSeries(each)}\n`));
   }
-  const all = chosen.flatMap(({ run }) => run.series());
+  const all = selected.flatMap(({ run }) => run.series());
   if (json) process.stdout.write(`${JSON.stringify(all, undefined, 2)}\n`);
   process.exit(0);
 }
 
-/** Runs all rounds to their end, so that each ends its processes, and fails with the first that failed. */
-async function rounds(run: (round: number) => Promise<void>, sideBySide: boolean): Promise<void> {
-  if (!sideBySide) {
+/** Runs all rounds to completion, so that each stops its processes, and then throws the first error. */
+async function runRounds(run: (round: number) => Promise<void>, parallel: boolean): Promise<void> {
+  if (!parallel) {
     for (const round of ROUNDS) await run(round);
     return;
   }
-  const ended = await Promise.allSettled(ROUNDS.map((round) => run(round)));
-  const failed = ended.find((each) => each.status === 'rejected');
+  const results = await Promise.allSettled(ROUNDS.map((round) => run(round)));
+  const failed = results.find((each) => each.status === 'rejected');
   if (failed) throw failed.reason;
 }
--- a/tools/measureCapacity/manifestOf.ts
+++ b/tools/measureCapacity/manifestOf.ts
@@ -1,4 +1,4 @@
-/** A manifest with one service and a number of teams. */
+/** A manifest with one service and the given number of teams. */
 export default function manifestOf(teams: number): object {
   return {
     services: [
@@ -15,10 +15,10 @@
         queue: { maxTasks: 100000 },
       },
     ],
-    teams: Array.from({ length: teams }, (_, at) => ({
-      name: `team-${at + 1}`,
-      share: 1 + (at % 3),
-      maxRunning: 2000 + at,
+    teams: Array.from({ length: teams }, (_, index) => ({
+      name: `team-${index + 1}`,
+      share: 1 + (index % 3),
+      maxRunning: 2000 + index,
     })),
     system: { defaultTeam: 'team-1' },
   };
--- a/tools/measureCapacity/measureEntryTasks.ts
+++ b/tools/measureCapacity/measureEntryTasks.ts
@@ -4,22 +4,22 @@
 const WARM_UP = { rate: 1500, seconds: 10 };
 const RATES = [500, 1500];
 const RATE_SECONDS = 3;
-const TASK = 'task start/s';
+const PER_TASK_START = 'task start/s';
 
-/** Entries that share the work, and sizes of jobs. Callers reach one entry; it forwards what others own. */
+/** Numbers of entries and job sizes. Callers use one entry, which forwards jobs that other entries own. */
 const cases = [
   { entries: 1, size: 20, name: 'one entry, jobs of 20' },
   { entries: 3, size: 20, name: 'three entries, jobs of 20, two of three forwarded' },
 ].map(({ entries, size, name }) => ({
   entries,
   size,
-  cpu: Series.over(TASK, `${name}: processor time of all entries`, 'ms/s'),
-  bytes: Series.over(TASK, `${name}: bytes on sidecar links`, 'bytes/s'),
-  messages: Series.over(TASK, `${name}: messages on sidecar links`, '1/s'),
+  cpu: Series.over(PER_TASK_START, `${name}: processor time of all entries`, 'ms/s'),
+  bytes: Series.over(PER_TASK_START, `${name}: bytes on sidecar links`, 'bytes/s'),
+  messages: Series.over(PER_TASK_START, `${name}: messages on sidecar links`, '1/s'),
   failed: Series.of(`${name}: jobs that failed`, 'jobs'),
 }));
 
-/** Runs one round over all cases and rates. */
+/** Runs one round of all cases and rates. */
 export default async function measureEntryTasks(round: number): Promise<void> {
   for (const each of cases) await measureCase(round, each);
 }
--- a/tools/measureCapacity/measureRecords.ts
+++ b/tools/measureCapacity/measureRecords.ts
@@ -16,17 +16,17 @@
 const JOBS = 400;
 const JOB_SIZES = [1, 20, 320];
 const OUTPUT_BYTES = 100;
-const COLLECTIONS = 4;
+const GC_PASSES = 4;
 
-const TASK = 'task of the job';
+const PER_TASK = 'task of the job';
 
-/** Memory of records, measured on the heap of this process with the daemon's own classes. */
+/** Memory of job and ledger records, measured on this process's heap with the daemon's own classes. */
 const series = {
-  job: Series.over(TASK, 'entry: answered record of a job, outputs of 100 bytes', 'bytes'),
-  ledger: Series.over(TASK, 'sidecar: ledger record of a job, outputs of 100 bytes', 'bytes'),
+  job: Series.over(PER_TASK, 'entry: answered record of a job, outputs of 100 bytes', 'bytes'),
+  ledger: Series.over(PER_TASK, 'sidecar: ledger record of a job, outputs of 100 bytes', 'bytes'),
 };
 
-/** Runs one round over all sizes of jobs. */
+/** Runs one round of all job sizes. */
 export default async function measureRecords(round: number): Promise<void> {
   setFlagsFromString('--expose_gc');
   const collect = runInNewContext('gc') as () => void;
@@ -41,18 +41,18 @@
 measureRecords.series = (): Series[] => Object.values(series);
 
 function bytesOf(make: () => object, collect: () => void): number {
-  settle(collect);
+  collectGarbage(collect);
   const before = used();
   const made = make();
-  settle(collect);
+  collectGarbage(collect);
   const after = used();
-  // Refers to the records once more, so that they are still there when the memory is read.
+  // Using `made` here keeps the records reachable until the memory has been read.
   return made ? after - before : 0;
 }
 
-/** Memory that only finalizers free goes with a later collection. */
-function settle(collect: () => void): void {
-  for (let times = 0; times < COLLECTIONS; times += 1) collect();
+/** Collects several pass, because memory freed by finalizers is only reclaimed by a later collection. */
+function collectGarbage(collect: () => void): void {
+  for (let pass = 0; pass < GC_PASSES; pass += 1) collect();
 }
 
 function used(): number {
@@ -93,7 +93,7 @@
 }
 
 function names(): string[] {
-  return Array.from({ length: JOBS }, (_, at) => `job-${at}`);
+  return Array.from({ length: JOBS }, (_, index) => `job-${index}`);
 }
 
 function output(): Uint8Array {
--- a/tools/measureCapacity/measureSidecarLinks.ts
+++ b/tools/measureCapacity/measureSidecarLinks.ts
@@ -8,47 +8,51 @@
 import Series from './Series';
 import StandInLinks from './StandInLinks';
 
-/** Links of each process of stand-ins; they are opened in this order and ended in the other. */
+/** Links per stand-in process; opened in this order and closed in reverse. */
 const STEPS = [50, 50, 100, 200];
-const CHANGES_AT = [100, 400];
+const CHANGES_AT_LINK_COUNTS = [100, 400];
 const SLOTS = 8;
 const SETTLE_SECONDS = 2;
-/** Longer than an entry awaits a sidecar whose link has ended. */
-const ENDED_SECONDS = 4;
-const JOINED_SECONDS = 2;
+/** Longer than an entry waits for a sidecar to reconnect after its link has closed. */
+const LINK_REMOVAL_SECONDS = 4;
+const JOIN_SECONDS = 2;
 const WINDOW_SECONDS = 3;
 const CHANGES = 20;
-const TEAMS = [10, 56] as const;
+const TEAM_COUNTS = [10, 56] as const;
 const AFTER_CHANGES_SECONDS = 0.5;
 
-const LINK = 'sidecar link';
+const PER_LINK = 'sidecar link';
 
-/** What an entry spends on the links of sidecars: idle, on new configurations and on views. */
+/** Cost of sidecar links to an entry: when idle, per new configuration and per new view. */
 const series = {
-  memory: Series.over(LINK, 'entry, idle: resident memory', 'MB'),
-  cpu: Series.over(LINK, 'entry, idle: processor time', 'ms/s'),
-  bytes: Series.over(LINK, 'entry, idle: bytes both ways', 'bytes/s'),
-  messages: Series.over(LINK, 'entry, idle: messages both ways', '1/s'),
-  busyBytes: Series.over(LINK, 'entry, idle, 56 teams known: bytes both ways', 'bytes/s'),
-  changeBytes: TEAMS.map((teams) =>
-    Series.over(LINK, `configuration of ${teams} teams: bytes both ways`, 'bytes'),
+  memory: Series.over(PER_LINK, 'entry, idle: resident memory', 'MB'),
+  cpu: Series.over(PER_LINK, 'entry, idle: processor time', 'ms/s'),
+  bytes: Series.over(PER_LINK, 'entry, idle: bytes both ways', 'bytes/s'),
+  messages: Series.over(PER_LINK, 'entry, idle: messages both ways', '1/s'),
+  busyBytes: Series.over(PER_LINK, 'entry, idle, 56 teams known: bytes both ways', 'bytes/s'),
+  changeBytes: TEAM_COUNTS.map((teams) =>
+    Series.over(PER_LINK, `configuration of ${teams} teams: bytes both ways`, 'bytes'),
   ),
-  changeCpu: TEAMS.map((teams) =>
-    Series.over(LINK, `configuration of ${teams} teams: processor time of the entry`, 'ms'),
+  changeCpu: TEAM_COUNTS.map((teams) =>
+    Series.over(PER_LINK, `configuration of ${teams} teams: processor time of the entry`, 'ms'),
   ),
-  changeMs: TEAMS.map((teams) =>
-    Series.over(LINK, `configuration of ${teams} teams: written to in force at all links`, 'ms'),
+  changeMs: TEAM_COUNTS.map((teams) =>
+    Series.over(
+      PER_LINK,
+      `configuration of ${teams} teams: written to in force at all links`,
+      'ms',
+    ),
   ),
-  viewBytes: Series.over(LINK, 'view: bytes both ways, with the confirmation', 'bytes'),
-  viewCpu: Series.over(LINK, 'view: processor time of the entry, with the confirmation', 'ms'),
-  viewMs: Series.over(LINK, 'view: written to confirmed by all links', 'ms'),
+  viewBytes: Series.over(PER_LINK, 'view: bytes both ways, with the confirmation', 'bytes'),
+  viewCpu: Series.over(PER_LINK, 'view: processor time of the entry, with the confirmation', 'ms'),
+  viewMs: Series.over(PER_LINK, 'view: written to confirmed by all links', 'ms'),
   removalMs: Series.of('entry killed to its removal known at all links', 'ms'),
 };
 
-/** Runs one round over all sizes. */
+/** Runs one round of all numbers of links. */
 export default async function measureSidecarLinks(round: number): Promise<void> {
   const size = { entries: 1, backends: 0, slots: SLOTS, connections: 64, zones: 3 };
-  const cluster = await Cluster.start(size, manifestOf(TEAMS[0]));
+  const cluster = await Cluster.start(size, manifestOf(TEAM_COUNTS[0]));
   try {
     await new Round(cluster, round).run();
   } finally {
@@ -59,7 +63,7 @@
 /** The series that the rounds fill. */
 measureSidecarLinks.series = (): Series[] => Object.values(series).flat();
 
-/** One round: up in steps for memory and changes, then down again for the processor time of a warm process. */
+/** One round: adds links in steps to measure memory and changes, then removes them to measure the CPU time of a warm process. */
 class Round {
   private version = 1;
 
@@ -75,60 +79,60 @@
     await processes.waitFor('entry-1', /view 1/);
     const peers = await processes.waitFor('entry-1', /for peers on ([\d.:]+)/);
     this.links = StandInLinks.to(processes, peers, SLOTS);
-    await this.noteMemory();
+    await this.recordMemory();
     for (const step of STEPS) {
       await this.links.add(step);
-      await this.noteMemory();
-      if (CHANGES_AT.includes(this.links.count)) await this.change();
+      await this.recordMemory();
+      if (CHANGES_AT_LINK_COUNTS.includes(this.links.count)) await this.measureChanges();
     }
     for (let left = STEPS.length; left > 1; left -= 1) {
-      await this.noteIdle();
+      await this.recordIdle();
       await this.removeLast();
     }
     await this.links.add(STEPS.at(-1)!);
-    await this.busy();
-    await this.removal();
+    await this.measureBusy();
+    await this.measureRemoval();
   }
 
-  private async noteMemory(): Promise<void> {
+  private async recordMemory(): Promise<void> {
     await pause(SETTLE_SECONDS);
     const { rssMb } = sampleProcess(this.cluster.processes.pid('entry-1'));
     series.memory.add(this.round, rssMb, this.links.count);
   }
 
-  private async noteIdle(): Promise<void> {
+  private async recordIdle(): Promise<void> {
     await pause(SETTLE_SECONDS);
     const { count } = this.links;
-    const used = await this.window();
+    const used = await this.measureWindow();
     series.cpu.add(this.round, used.cpuMsPerSecond, count);
     series.bytes.add(this.round, used.bytesPerSecond, count);
     series.messages.add(this.round, used.messagesPerSecond, count);
   }
 
-  private async noteBusyBytes(): Promise<void> {
+  private async recordBusyBytes(): Promise<void> {
     await pause(SETTLE_SECONDS);
-    const { bytesPerSecond } = await this.window();
+    const { bytesPerSecond } = await this.measureWindow();
     series.busyBytes.add(this.round, bytesPerSecond, this.links.count);
   }
 
-  /** Has every team run a task, so that an entry has loads of each to tell, and looks at idle links again. */
-  private async busy(): Promise<void> {
+  /** Runs a task for every team, so that the entry has a load to report for each, and measures idle links again. */
+  private async measureBusy(): Promise<void> {
     const load = Load.to(this.cluster.callersOf('entry-1'), 1, 0);
-    const teams = Array.from({ length: TEAMS[1] }, (_, at) => `team-${at + 1}`);
+    const teams = Array.from({ length: TEAM_COUNTS[1] }, (_, at) => `team-${at + 1}`);
     await Promise.all(teams.map((team) => load.submit(team)));
     await load.close();
     if (load.failed > 0) throw new Error(`${load.failed} jobs failed`);
-    await this.noteBusyBytes();
+    await this.recordBusyBytes();
     await this.removeLast();
-    await this.noteBusyBytes();
+    await this.recordBusyBytes();
   }
 
   private async removeLast(): Promise<void> {
     await this.links.removeLast();
-    await pause(ENDED_SECONDS);
+    await pause(LINK_REMOVAL_SECONDS);
   }
 
-  private async window() {
+  private async measureWindow() {
     const pid = this.cluster.processes.pid('entry-1');
     const before = sampleProcess(pid);
     const from = this.links.report();
@@ -146,51 +150,51 @@
     };
   }
 
-  private async change(): Promise<void> {
-    for (const [at, teams] of TEAMS.entries()) await this.configurations(at, teams);
-    await this.views();
+  private async measureChanges(): Promise<void> {
+    for (const [at, teams] of TEAM_COUNTS.entries()) await this.measureConfigurations(at, teams);
+    await this.measureViews();
   }
 
-  private async configurations(at: number, teams: number): Promise<void> {
+  private async measureConfigurations(at: number, teams: number): Promise<void> {
     const { platform } = this.cluster;
     const cost = await this.costOfEach(async () => {
       this.version += 1;
       const { version } = this;
-      const written = Date.now();
+      const writtenAt = Date.now();
       await putManifest(platform, version, manifestOf(teams));
-      const heard = await this.links.until(({ configuration }) => configuration >= version);
-      series.changeMs[at]!.add(this.round, heard.configurationAt - written, this.links.count);
+      const report = await this.links.until(({ configuration }) => configuration >= version);
+      series.changeMs[at]!.add(this.round, report.configurationAt - writtenAt, this.links.count);
     });
     series.changeBytes[at]!.add(this.round, cost.bytes, this.links.count);
     series.changeCpu[at]!.add(this.round, cost.cpuMs, this.links.count);
   }
 
-  private async views(): Promise<void> {
+  private async measureViews(): Promise<void> {
     const cost = await this.costOfEach(async () => {
-      const written = Date.now();
+      const writtenAt = Date.now();
       const number = await putNextView(this.cluster.platform);
-      const heard = await this.links.until(({ view }) => view >= number);
-      series.viewMs.add(this.round, heard.viewAt - written, this.links.count);
+      const report = await this.links.until(({ view }) => view >= number);
+      series.viewMs.add(this.round, report.viewAt - writtenAt, this.links.count);
     });
     series.viewBytes.add(this.round, cost.bytes, this.links.count);
     series.viewCpu.add(this.round, cost.cpuMs, this.links.count);
   }
 
-  /** Has a second entry join and die. Comes last: jobs of a removed entry wait for links that ended since. */
-  private async removal(): Promise<void> {
+  /** Lets a second entry join and kills it. Runs last: jobs of a removed entry wait for links that have closed since. */
+  private async measureRemoval(): Promise<void> {
     const { cluster, links } = this;
     await cluster.startEntry('entry-2');
     const joined = await cluster.processes.waitFor('entry-1', /view (\d+): entry-1, entry-2/);
-    await pause(JOINED_SECONDS);
-    const killed = Date.now();
+    await pause(JOIN_SECONDS);
+    const killedAt = Date.now();
     cluster.processes.signal('entry-2', 'SIGKILL');
     const removed = await links.until(({ view }) => view > Number(joined));
-    series.removalMs.add(this.round, removed.viewAt - killed);
+    series.removalMs.add(this.round, removed.viewAt - killedAt);
   }
 
-  /** What each of several changes costs above idling for the same time. */
+  /** Average cost of a change, without the cost of idling for the same time. */
   private async costOfEach(change: () => Promise<void>): Promise<{ bytes: number; cpuMs: number }> {
-    const idle = await this.window();
+    const idle = await this.measureWindow();
     const pid = this.cluster.processes.pid('entry-1');
     const from = this.links.report();
     const before = sampleProcess(pid);
--- a/tools/measureCapacity/measureSidecarTasks.ts
+++ b/tools/measureCapacity/measureSidecarTasks.ts
@@ -11,7 +11,7 @@
 const TASK_MS = 10;
 const JOB_SIZE = 10;
 
-/** What one sidecar spends on tasks that it starts at a real backend server stand-in. */
+/** Resource use of one sidecar for tasks that it starts at a backend server stand-in. */
 const series = {
   cpu: Series.over('task start/s', 'sidecar: processor time', 'ms/s'),
   memory: Series.of('sidecar: resident memory after about 3,300 tasks', 'MB'),
--- a/tools/measureCapacity/pause.ts
+++ b/tools/measureCapacity/pause.ts
@@ -1,4 +1,4 @@
-/** Resolves after some seconds. */
+/** Resolves after the given number of seconds. */
 export default function pause(seconds: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, seconds * 1000);
--- a/tools/measureCapacity/putManifest.ts
+++ b/tools/measureCapacity/putManifest.ts
@@ -1,6 +1,6 @@
 import { request } from 'undici';
 
-/** Writes a manifest to the platform stand-in, whatever was there. */
+/** Writes a manifest to the platform stand-in and replaces any stored one unconditionally. */
 export default async function putManifest(
   platform: string,
   version: number,
--- a/tools/measureCapacity/putNextView.ts
+++ b/tools/measureCapacity/putNextView.ts
@@ -7,10 +7,10 @@
   readonly past?: readonly object[];
 }
 
-/** Past views that are kept; a long-lived system has about as many. */
-const PAST_KEPT = 4;
+/** Number of previous views kept in the record; a long-lived system has about as many. */
+const PREVIOUS_VIEWS = 4;
 
-/** Writes a view that follows the stored one with the same members, and returns its number. */
+/** Writes a successor of the stored view with the same members, and returns its number. */
 export default async function putNextView(platform: string): Promise<number> {
   const url = `http://${platform}/v1/keys/view`;
   const item = (await (await request(url)).body.json()) as { value: string };
@@ -19,7 +19,7 @@
   const incarnations = view.members.map(({ incarnation }) => incarnation);
   const sinceMs = String(Date.now());
   const replaced = { number: view.number, sinceMs: view.sinceMs, untilMs: sinceMs, incarnations };
-  const past = [...(view.past ?? []), replaced].slice(-PAST_KEPT);
+  const past = [...(view.past ?? []), replaced].slice(-PREVIOUS_VIEWS);
   const next = { ...view, number: String(number), sinceMs, past };
   const { body } = await request(url, {
     method: 'PUT',
--- a/tools/measureCapacity/runStandIns.ts
+++ b/tools/measureCapacity/runStandIns.ts
@@ -5,9 +5,9 @@
 import StandInSidecar from './StandInSidecar';
 
 const REPORT_MS = 100;
-const OPEN_AT_ONCE = 20;
+const MAX_CONCURRENT_OPENS = 20;
 
-/** The command line of a process of stand-in links. */
+/** Command-line flags of a process that opens stand-in links. */
 interface Flags {
   readonly entry: string;
   readonly name: string;
@@ -16,7 +16,7 @@
   readonly taskMs: number;
 }
 
-/** Opens links to an entry and prints a report of them, one JSON line each time, until it is ended. */
+/** Opens links to an entry and prints reports of them as JSON lines until the process is stopped. */
 export default async function runStandIns(flags: Flags): Promise<void> {
   const { entry, name, links, slots, taskMs } = flags;
   const timer = SystemTimer.create();
@@ -25,10 +25,10 @@
   const sidecars: StandInSidecar[] = [];
   const base = { timer, counters, entry: meter.address, service: 'booking', slots, taskMs };
   while (sidecars.length < links) {
-    const count = Math.min(OPEN_AT_ONCE, links - sidecars.length);
+    const count = Math.min(MAX_CONCURRENT_OPENS, links - sidecars.length);
     const first = sidecars.length + 1;
-    const opened = Array.from({ length: count }, (_, at) =>
-      StandInSidecar.open({ ...base, name: `${name}-${first + at}` }),
+    const opened = Array.from({ length: count }, (_, index) =>
+      StandInSidecar.open({ ...base, name: `${name}-${first + index}` }),
     );
     sidecars.push(...(await Promise.all(opened)));
   }
@@ -56,12 +56,12 @@
   };
 }
 
-interface Heard {
+interface Receipt {
   readonly number: number;
   readonly at: number;
 }
 
-function oldest(heard: readonly Heard[]): Heard {
-  const number = Math.min(...heard.map((each) => each.number));
-  return { number, at: Math.max(...heard.map((each) => each.at)) };
+function oldest(receipts: readonly Receipt[]): Receipt {
+  const number = Math.min(...receipts.map((each) => each.number));
+  return { number, at: Math.max(...receipts.map((each) => each.at)) };
 }
--- a/tools/measureCapacity/spreadOf.ts
+++ b/tools/measureCapacity/spreadOf.ts
@@ -1,6 +1,6 @@
 import type Spread from './Spread';
 
-/** The median and the range of some values, at least one. */
+/** The median and the range of the values, of which there has to be at least one. */
 export default function spreadOf(values: readonly number[]): Spread {
   const sorted = [...values].sort((a, b) => a - b);
   const half = Math.floor(sorted.length / 2);
