--- a/tools/measureConfig/Applied.ts
+++ b/tools/measureConfig/Applied.ts
@@ -1,8 +1,8 @@
-/** One version that an operator put in force. */
+/** A manifest version that an operator applied. */
 export default interface Applied {
   readonly version: number;
-  /** What went on meanwhile. */
+  /** The phase of the measurement in which it was applied. */
   readonly phase: string;
-  /** When the operator began the attempt that succeeded, wall clock in milliseconds. */
+  /** Wall-clock time at which the successful attempt began, in milliseconds. */
   readonly startedAt: number;
 }
--- a/tools/measureConfig/Bench.ts
+++ b/tools/measureConfig/Bench.ts
@@ -4,7 +4,7 @@
 import type InForceLog from './InForceLog';
 import type Operator from './Operator';
 
-/** What the phases of a measurement work on. */
+/** Context shared by the phases of a measurement: the cluster, its operators and the changes applied so far. */
 export default class Bench {
   readonly applied: Applied[] = [];
 
@@ -15,6 +15,7 @@
     readonly sidecars: readonly string[],
   ) {}
 
+  /** Creates a bench without applied changes. */
   static of(
     cluster: Cluster,
     log: InForceLog,
@@ -24,14 +25,14 @@
     return new Bench(cluster, log, operators, sidecars);
   }
 
-  /** Has an operator apply some changes, one after the other. */
+  /** Lets an operator, given by its index, apply a number of changes one after the other. */
   async apply(phase: string, count: number, operator = 0): Promise<void> {
-    for (let made = 0; made < count; made += 1) {
+    for (let done = 0; done < count; done += 1) {
       this.applied.push(await this.operators[operator]!.apply(phase));
     }
   }
 
-  /** Sets the store's faults, for everybody or for one process. */
+  /** Sets the faults of the store, for all of its clients or for one process. */
   async setFaults(faults: object): Promise<void> {
     const { body } = await request(`http://${this.cluster.platform}/v1/faults`, {
       method: 'PUT',
@@ -40,7 +41,7 @@
     await body.dump();
   }
 
-  /** Calls to the store so far, by process and kind. */
+  /** Number of calls to the store so far, by process and kind. */
   async calls(): Promise<Record<string, Record<string, number>>> {
     const { body } = await request(`http://${this.cluster.platform}/v1/calls`);
     return (await body.json()) as Record<string, Record<string, number>>;
--- a/tools/measureConfig/InForceLog.ts
+++ b/tools/measureConfig/InForceLog.ts
@@ -1,31 +1,33 @@
 import type ProcessWatch from '../harness/ProcessWatch';
 
-interface Sighting {
+interface Activation {
   readonly version: number;
   readonly at: number;
 }
 
-/** When each process put which version in force, as its log tells, over restarts of the process. */
+/** Records, from the logs, when a configuration version took effect at each process, across its restarts. */
 export default class InForceLog implements ProcessWatch {
-  /** Steps back to an older version, in words. */
+  /** Descriptions of changes from a newer to an older version. */
   readonly reversions: string[] = [];
 
-  private readonly sightings = new Map<string, Sighting[]>();
+  private readonly activations = new Map<string, Activation[]>();
 
-  /** When each process came back after it had been stopped or paused. */
+  /** Times at which each process was started or resumed. */
   private readonly returns = new Map<string, number[]>();
 
-  private readonly away = new Map<string, number[]>();
+  /** Times at which each process was stopped or paused. */
+  private readonly absences = new Map<string, number[]>();
 
   private constructor() {}
 
+  /** Creates an empty log. */
   static create(): InForceLog {
     return new InForceLog();
   }
 
-  /** Processes that have put something in force. */
+  /** Names of the processes at which any configuration has taken effect. */
   get names(): string[] {
-    return [...this.sightings.keys()];
+    return [...this.activations.keys()];
   }
 
   readonly printed = (name: string, line: string): void => {
@@ -33,40 +35,40 @@
     const time = TIME.exec(line);
     if (!match || !time) return;
     const version = Number(match[1]);
-    const known = this.sightings.get(name) ?? [];
+    const known = this.activations.get(name) ?? [];
     const newest = known.at(-1)?.version ?? 0;
     if (version < newest) this.reversions.push(`${name} went from ${newest} to ${version}`);
     known.push({ version, at: Date.parse(time[1]!) });
-    this.sightings.set(name, known);
+    this.activations.set(name, known);
   };
 
-  /** Notes that a process is stopped or paused from now on. */
+  /** Records that a process is stopped or paused now. */
   leave(name: string): void {
-    this.away.set(name, [...(this.away.get(name) ?? []), Date.now()]);
+    this.absences.set(name, [...(this.absences.get(name) ?? []), Date.now()]);
   }
 
-  /** Notes that a process is started or goes on from now on. */
+  /** Records that a process is started or resumed now. */
   comeBack(name: string): void {
     this.returns.set(name, [...(this.returns.get(name) ?? []), Date.now()]);
   }
 
-  /** The newest version in force at a process. */
+  /** The newest version that has taken effect at a process; 0 if there is none. */
   newestAt(name: string): number {
-    return Math.max(0, ...(this.sightings.get(name) ?? []).map(({ version }) => version));
+    return Math.max(0, ...(this.activations.get(name) ?? []).map(({ version }) => version));
   }
 
   /**
-   * How long after its apply a version, or a newer one, was in force at a
-   * process; undefined when it never was. For a process that was away at the
-   * apply the time counts from its return.
+   * Milliseconds from the apply of a version until it, or a newer one, took effect at
+   * a process; undefined if it never did. If the process was stopped or paused at the
+   * apply, the delay counts from its return.
    */
   delayOf(name: string, version: number, startedAt: number): number | undefined {
-    const seen = (this.sightings.get(name) ?? []).find((each) => each.version >= version);
-    return seen && Math.max(0, seen.at - this.presentFrom(name, startedAt));
+    const activation = (this.activations.get(name) ?? []).find((each) => each.version >= version);
+    return activation && Math.max(0, activation.at - this.delayStart(name, startedAt));
   }
 
-  private presentFrom(name: string, at: number): number {
-    const lastLeft = Math.max(0, ...(this.away.get(name) ?? []).filter((left) => left <= at));
+  private delayStart(name: string, at: number): number {
+    const lastLeft = Math.max(0, ...(this.absences.get(name) ?? []).filter((left) => left <= at));
     const back = (this.returns.get(name) ?? []).find((each) => each >= lastLeft);
     if (lastLeft === 0 || back === undefined) return at;
     return Math.max(at, back);
--- a/tools/measureConfig/Operator.ts
+++ b/tools/measureConfig/Operator.ts
@@ -3,12 +3,12 @@
 import pause from '../measureCapacity/pause';
 import type Applied from './Applied';
 
-/** An operator whose pipeline changes the manifest, as magnoliakeelctl does it. */
+/** An operator whose pipeline changes the manifest in the same way as magnoliakeelctl. */
 export default class Operator {
-  /** How often another operator was first. */
+  /** Number of applies that lost against a concurrent change by another operator. */
   conflicts = 0;
 
-  /** How often the store could not be reached. */
+  /** Number of attempts that failed because the store could not be reached. */
   failures = 0;
 
   private changes = 0;
@@ -19,6 +19,7 @@
     private readonly base: { readonly services: readonly object[] },
   ) {}
 
+  /** Creates an operator who adds a service of the given name to the base manifest. */
   static create(
     name: string,
     storeAddress: string,
@@ -27,7 +28,7 @@
     return new Operator(name, ManifestStore.at(storeAddress, createContext()), base);
   }
 
-  /** Changes the manifest and tries again until that succeeds. */
+  /** Changes the manifest, and retries until that succeeds. */
   async apply(phase: string): Promise<Applied> {
     this.changes += 1;
     for (;;) {
@@ -40,7 +41,7 @@
       }
       if (applied.isOk()) this.conflicts += 1;
       else this.failures += 1;
-      if (applied.isErr()) await pause(RETRY_S);
+      if (applied.isErr()) await pause(RETRY_SECONDS);
     }
   }
 
@@ -50,4 +51,4 @@
   }
 }
 
-const RETRY_S = 0.2;
+const RETRY_SECONDS = 0.2;
--- a/tools/measureConfig/SizeResult.ts
+++ b/tools/measureConfig/SizeResult.ts
@@ -1,16 +1,16 @@
 import type PhaseResult from './PhaseResult';
 
-/** The measurement at one size. */
+/** Results of the measurement with one number of processes. */
 export default interface SizeResult {
   readonly entries: number;
   readonly sidecars: number;
   readonly phases: readonly PhaseResult[];
   readonly reversions: readonly string[];
   readonly conflicts: number;
-  /** Store calls a second of one entry in quiet, by kind. */
+  /** Store calls per second and entry without changes, by kind. */
   readonly quietCalls: Readonly<Record<string, number>>;
-  /** Store calls of one entry for each change, by kind, in a burst. */
+  /** Store calls per entry and change in a burst, by kind. */
   readonly burstCalls: Readonly<Record<string, number>>;
-  /** Store calls of all sidecars together. */
+  /** Total number of store calls of all sidecars. */
   readonly sidecarCalls: number;
 }
--- a/tools/measureConfig/callsBetween.ts
+++ b/tools/measureConfig/callsBetween.ts
@@ -1,6 +1,6 @@
 type Calls = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
-/** Calls that some processes made between two counts, by kind, all together. */
+/** Number of calls that the named processes newCalls between two readings, by kind. */
 export default function callsBetween(
   before: Calls,
   after: Calls,
@@ -9,8 +9,8 @@
   const totals: Record<string, number> = {};
   names.forEach((name) => {
     Object.entries(after[name] ?? {}).forEach(([kind, count]) => {
-      const made = count - (before[name]?.[kind] ?? 0);
-      if (made > 0) totals[kind] = (totals[kind] ?? 0) + made;
+      const newCalls = count - (before[name]?.[kind] ?? 0);
+      if (newCalls > 0) totals[kind] = (totals[kind] ?? 0) + newCalls;
     });
   });
   return totals;
--- a/tools/measureConfig/describeSize.ts
+++ b/tools/measureConfig/describeSize.ts
@@ -1,7 +1,7 @@
 import formatTable from '../../src/ctl/formatTable';
 import type SizeResult from './SizeResult';
 
-/** The measurement at one size, for people. */
+/** Formats the results for one number of processes as text for people. */
 export default function describeSize(result: SizeResult): string[] {
   const rows = result.phases.map(({ phase, changes, p50, p99, max, missing }) => [
     ...[phase, changes, p50, p99, max, missing],
--- a/tools/measureConfig/measureSize.ts
+++ b/tools/measureConfig/measureSize.ts
@@ -8,7 +8,7 @@
 import type SizeResult from './SizeResult';
 import summarizePhase from './summarizePhase';
 
-/** Runs all phases on real processes, a tenth of them entries and at least three. */
+/** Runs all phases on real processes, of which a tenth, but at least three, are entries. */
 export default async function measureSize(processes: number): Promise<SizeResult> {
   const entries = Math.max(3, Math.round(processes / 10));
   const log = InForceLog.create();
@@ -16,11 +16,11 @@
   const cluster = await Cluster.start(size, MANIFEST, { watch: log });
   try {
     const sidecars = numbered('sidecar', processes - entries);
-    for (let at = 0; at < sidecars.length; at += STARTED_AT_ONCE) {
-      const some = sidecars.slice(at, at + STARTED_AT_ONCE);
-      await Promise.all(some.map((name) => cluster.startSidecar(name)));
+    for (let at = 0; at < sidecars.length; at += MAX_CONCURRENT_STARTS) {
+      const batch = sidecars.slice(at, at + MAX_CONCURRENT_STARTS);
+      await Promise.all(batch.map((name) => cluster.startSidecar(name)));
     }
-    await settled(log, processes, 1);
+    await whenSettled(log, processes, 1);
     const operators = ['one', 'other'].map((name) =>
       Operator.create(name, cluster.platform, MANIFEST),
     );
@@ -31,22 +31,22 @@
 }
 
 const MANIFEST = { services: [{ name: 'booking' }], teams: [], system: {} };
-const STARTED_AT_ONCE = 10;
-const QUIET_S = 10;
-const SETTLE_LIMIT_MS = 30_000;
+const MAX_CONCURRENT_STARTS = 10;
+const QUIET_SECONDS = 10;
+const SETTLE_TIMEOUT_MS = 30_000;
 
 async function runPhases(bench: Bench): Promise<SizeResult> {
   const { cluster, log, operators, sidecars } = bench;
   const entries = cluster.entryNames;
   await pause(2);
   const before = await bench.calls();
-  await pause(QUIET_S);
+  await pause(QUIET_SECONDS);
   const quiet = callsBetween(before, await bench.calls(), entries);
   let burst: Record<string, number> = {};
   for (const [phase, run] of Object.entries(phases)) {
     const start = await bench.calls();
     await run(bench, phase);
-    await settled(log, entries.length + sidecars.length, bench.applied.at(-1)!.version);
+    await whenSettled(log, entries.length + sidecars.length, bench.applied.at(-1)!.version);
     if (phase.startsWith('burst')) burst = callsBetween(start, await bench.calls(), entries);
   }
   const applied = bench.applied.filter(({ phase }) => phase.startsWith('burst')).length;
@@ -57,21 +57,21 @@
     phases: Object.keys(phases).map((phase) => summarizePhase(phase, bench.applied, log)),
     reversions: log.reversions,
     conflicts: operators.reduce((sum, { conflicts }) => sum + conflicts, 0),
-    quietCalls: divided(quiet, entries.length * QUIET_S),
-    burstCalls: divided(burst, entries.length * applied),
+    quietCalls: divide(quiet, entries.length * QUIET_SECONDS),
+    burstCalls: divide(burst, entries.length * applied),
     sidecarCalls: Object.values(all).reduce((sum, count) => sum + count, 0),
   };
 }
 
-/** Resolves when every process has the version in force, or when that takes far too long. */
-async function settled(log: InForceLog, processes: number, version: number): Promise<void> {
-  const end = Date.now() + SETTLE_LIMIT_MS;
+/** Resolves when the version is in effect at every process, or after 30 s. */
+async function whenSettled(log: InForceLog, processes: number, version: number): Promise<void> {
+  const deadline = Date.now() + SETTLE_TIMEOUT_MS;
   const isSettled = () =>
     log.names.filter((name) => log.newestAt(name) >= version).length >= processes;
-  while (!isSettled() && Date.now() < end) await pause(0.05);
+  while (!isSettled() && Date.now() < deadline) await pause(0.05);
 }
 
-function divided(calls: Record<string, number>, by: number): Record<string, number> {
+function divide(calls: Record<string, number>, by: number): Record<string, number> {
   const rounded = (count: number) => Math.round((count / by) * 1000) / 1000;
   return Object.fromEntries(Object.entries(calls).map(([kind, count]) => [kind, rounded(count)]));
 }
--- a/tools/measureConfig/phases.ts
+++ b/tools/measureConfig/phases.ts
@@ -1,7 +1,7 @@
 import pause from '../measureCapacity/pause';
 import type Bench from './Bench';
 
-/** What happens while changes are made, in the order of the run. */
+/** Phases of the measurement in order, each with what happens while changes are applied. */
 const phases: Readonly<Record<string, (bench: Bench, phase: string) => Promise<void>>> = {
   'one by one': async (bench, phase) => {
     for (let at = 0; at < 5; at += 1) {
--- a/tools/measureConfig/summarizePhase.ts
+++ b/tools/measureConfig/summarizePhase.ts
@@ -2,23 +2,24 @@
 import type InForceLog from './InForceLog';
 import type PhaseResult from './PhaseResult';
 
-/** The delays of a phase's changes over all processes. */
+/** Summarizes the delays of a phase's changes over all processes. */
 export default function summarizePhase(
   phase: string,
   applied: readonly Applied[],
   log: InForceLog,
 ): PhaseResult {
-  const own = applied.filter((each) => each.phase === phase);
-  const delays = own.flatMap(({ version, startedAt }) =>
+  const changes = applied.filter((each) => each.phase === phase);
+  const delays = changes.flatMap(({ version, startedAt }) =>
     log.names.map((name) => log.delayOf(name, version, startedAt)),
   );
   const known = delays.filter((delay) => delay !== undefined).sort((a, b) => a - b);
-  const at = (share: number) => known[Math.min(known.length - 1, Math.floor(known.length * share))];
+  const percentile = (share: number) =>
+    known[Math.min(known.length - 1, Math.floor(known.length * share))];
   return {
     phase,
-    changes: own.length,
-    p50: at(0.5) ?? 0,
-    p99: at(0.99) ?? 0,
+    changes: changes.length,
+    p50: percentile(0.5) ?? 0,
+    p99: percentile(0.99) ?? 0,
     max: known.at(-1) ?? 0,
     missing: delays.length - known.length,
   };
