--- a/test/chaos/checkJournal.test.ts
+++ b/test/chaos/checkJournal.test.ts
@@ -1,75 +1,105 @@
 import { expect, it } from 'vitest';
-import type Attempt from '../../tools/chaos/Attempt';
+import type CallerAttempt from '../../tools/chaos/CallerAttempt';
 import checkJournal from '../../tools/chaos/checkJournal';
-import type Start from '../../tools/chaos/Start';
-import type Work from '../../tools/chaos/Work';
+import type ReportedStart from '../../tools/chaos/ReportedStart';
+import type WorkItem from '../../tools/chaos/WorkItem';
 
-const tried = (
+const attempt = (
   sentAt: number,
   endedAt: number,
   outcome: string,
   outputs: unknown[] = [],
-): Attempt => ({
+): CallerAttempt => ({
   ...{ entry: 'entry-1', action: 'submit', sentAt, endedAt, outcome, outputs },
   ...{ reason: '', retryAfterMs: 0 },
 });
 
-const start = (at: number, index = 0): Start => ({
+const start = (at: number, index = 0): ReportedStart => ({
   ...{ backend: 'backend-1', task: `key/${index}/0`, id: 'a', index, at },
 });
 
-const own = [{ id: 'a', n: 0 }];
+const ownOutputs = [{ id: 'a', n: 0 }];
 
-function broken(attempts: Attempt[], starts: Start[], changes: Partial<Work> = {}): string[] {
+function brokenGuarantees(
+  attempts: CallerAttempt[],
+  starts: ReportedStart[],
+  changes: Partial<WorkItem> = {},
+): string[] {
   const final = attempts.at(-1)?.outcome;
-  const work: Work = {
+  const work: WorkItem = {
     ...{ id: 'a', kind: 'job', keyed: true, idempotent: false, taskMs: [1], madeAt: 0 },
     ...{ attempts, final, finalAt: 9, ...changes },
   };
-  const { broken: found } = checkJournal({ works: [work], starts, disruptions: [], crashes: [] });
-  return Object.entries(found).flatMap(([promise, cases]) => cases.map(() => promise));
+  const { broken: violations } = checkJournal({
+    workItems: [work],
+    starts,
+    disruptions: [],
+    crashes: [],
+  });
+  return Object.entries(violations).flatMap(([guarantee, cases]) => cases.map(() => guarantee));
 }
 
-it.each<[string, string[], Attempt[], Start[], Partial<Work>?]>([
-  ['one start and its answer', [], [tried(0, 5, 'completed', own)], [start(1)]],
-  ['a second start', ['doubled'], [tried(0, 5, 'completed', own)], [start(1), start(2)]],
+it.each<[string, string[], CallerAttempt[], ReportedStart[], Partial<WorkItem>?]>([
+  ['accepts one start and its answer', [], [attempt(0, 5, 'completed', ownOutputs)], [start(1)]],
   [
-    'a second start of a retryable request',
+    'reports a second start',
+    ['doubled'],
+    [attempt(0, 5, 'completed', ownOutputs)],
+    [start(1), start(2)],
+  ],
+  [
+    'accepts a second start of an idempotent request',
     [],
-    [tried(0, 5, 'completed', own)],
+    [attempt(0, 5, 'completed', ownOutputs)],
     [start(1), start(2)],
     { idempotent: true },
   ],
-  ['no final answer', ['lost'], [tried(0, 5, 'pending')], [start(1)], { final: undefined }],
-  ['not run after a start', ['falseNotRun'], [tried(0, 5, 'not-run')], [start(1)]],
   [
-    'not run, asked again and run',
+    'reports a missing final answer',
+    ['lost'],
+    [attempt(0, 5, 'pending')],
+    [start(1)],
+    { final: undefined },
+  ],
+  ['reports "not run" after a start', ['falseNotRun'], [attempt(0, 5, 'not-run')], [start(1)]],
+  [
+    'accepts "not run" for a work item that is resubmitted and run',
     [],
-    [tried(0, 5, 'not-run'), tried(6, 9, 'completed', own)],
+    [attempt(0, 5, 'not-run'), attempt(6, 9, 'completed', ownOutputs)],
     [start(7)],
   ],
-  ['a start after not run', ['falseNotRun'], [tried(0, 5, 'not-run')], [start(7)]],
+  ['reports a start after "not run"', ['falseNotRun'], [attempt(0, 5, 'not-run')], [start(7)]],
   [
-    'not run for one of two that ask at once',
+    'accepts "not run" for one of two concurrent attempts',
     [],
-    [tried(0, 5, 'not-run'), tried(1, 9, 'completed', own)],
+    [attempt(0, 5, 'not-run'), attempt(1, 9, 'completed', ownOutputs)],
     [start(3)],
   ],
   [
-    'not run for what had run before it was asked',
+    'reports "not run" for an attempt sent after the start',
     ['falseNotRun'],
-    [tried(0, 4, 'broken'), tried(5, 9, 'not-run')],
+    [attempt(0, 4, 'broken'), attempt(5, 9, 'not-run')],
     [start(3)],
   ],
-  ['a partial answer', ['wrongAnswers'], [tried(0, 5, 'completed')], [start(1)]],
+  ['reports a partial answer', ['wrongAnswers'], [attempt(0, 5, 'completed')], [start(1)]],
   [
-    'the answer to another job',
+    'reports an answer with the outputs of another job',
     ['wrongAnswers'],
-    [tried(0, 5, 'completed', [{ id: 'b', n: 0 }])],
+    [attempt(0, 5, 'completed', [{ id: 'b', n: 0 }])],
+    [start(1)],
+  ],
+  [
+    'reports a completed answer without a start',
+    ['wrongAnswers'],
+    [attempt(0, 5, 'completed', ownOutputs)],
+    [],
+  ],
+  [
+    'reports a failure without a cause',
+    ['unexpectedAnswers'],
+    [attempt(0, 5, 'failed')],
     [start(1)],
   ],
-  ['an answer without a start', ['wrongAnswers'], [tried(0, 5, 'completed', own)], []],
-  ['a failure without a cause', ['unexpectedAnswers'], [tried(0, 5, 'failed')], [start(1)]],
 ])('%s', (_name, expected, attempts, starts, changes) => {
-  expect(broken(attempts, starts, changes)).toEqual(expected);
+  expect(brokenGuarantees(attempts, starts, changes)).toEqual(expected);
 });
--- a/test/measureCapacity/Series.test.ts
+++ b/test/measureCapacity/Series.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import Series from '../../tools/measureCapacity/Series';
 
-test('a slope is the growth for each unit of size, with its spread over rounds', () => {
+test('the slope is the growth per unit of size, with its median and range over the rounds', () => {
   const series = Series.over('link', 'memory', 'MB');
   const rounds = [
     [10, 12, 14],
--- a/test/measureConfig/InForceLog.test.ts
+++ b/test/measureConfig/ConfigurationLog.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from 'vitest';
-import InForceLog from '../../tools/measureConfig/InForceLog';
+import ConfigurationLog from '../../tools/measureConfig/ConfigurationLog';
 import summarizePhase from '../../tools/measureConfig/summarizePhase';
 
-/** A log with lines such as `a 2 100`: process, version and the millisecond it was in force. */
-function logOf(...lines: string[]): InForceLog {
-  const log = InForceLog.create();
+/** A log made from lines such as `a 2 100`: process, version and the time at which it took effect, in milliseconds. */
+function logOf(...lines: string[]): ConfigurationLog {
+  const log = ConfigurationLog.create();
   lines.forEach((line) => {
     const [name = '', version, at] = line.split(' ');
     const time = new Date(Number(at)).toISOString();
@@ -14,12 +14,12 @@
   return log;
 }
 
-test('a step back shows, also over a restart', () => {
+test('reports a change to an older version, also across a restart', () => {
   const log = logOf('a 1 10', 'a 3 20', 'b 3 20', 'a 2 30', 'b 3 40');
   expect(log.reversions).toEqual(['a went from 3 to 2']);
 });
 
-test('a newer version counts for one that was passed over, and a version never met is missing', () => {
+test('a newer version counts for a skipped one, and a version that never takes effect is missing', () => {
   const log = logOf('a 1 10', 'b 1 10', 'a 3 160');
   const applied = [{ version: 2, phase: 'p', startedAt: 100 }];
   expect(summarizePhase('p', applied, log)).toEqual({
--- a/tools/chaos/ChaosRun.ts
+++ b/tools/chaos/ChaosRun.ts
@@ -3,7 +3,7 @@
 import SystemTimer from '../../src/core/SystemTimer';
 import Cluster from '../harness/Cluster';
 import type ClusterSize from '../harness/ClusterSize';
-import Caller from './Caller';
+import ChaosCaller from './ChaosCaller';
 import chaosManifest from './chaosManifest';
 import Disruptor from './Disruptor';
 import EntryClient from './EntryClient';
@@ -11,12 +11,12 @@
 import LogFolder from './LogFolder';
 import probeSlots from './probeSlots';
 import Recorder from './Recorder';
-import Rolling from './Rolling';
+import RollingReplacement from './RollingReplacement';
 import Supervisor from './Supervisor';
 
-/** How long callers get for their final answers once nothing is disturbed any more. */
-const FINISH_MS = 90_000;
-const CALM_MS = 2000;
+/** Time that callers have to get their final answers after the last disruption. */
+const FINISH_TIMEOUT_MS = 90_000;
+const SETTLE_MS = 2000;
 
 interface ChaosOptions {
   readonly seconds: number;
@@ -24,23 +24,23 @@
   readonly callers: number;
   readonly size: ClusterSize;
   readonly rolling: boolean;
-  /** By how much the system is told that clocks may differ, milliseconds. */
+  /** Clock skew that the entries are configured to tolerate, in milliseconds. */
   readonly skewMs: number;
-  /** Kinds of disruptions to choose from; all when empty. */
+  /** Kinds of disruptions to choose from; all if empty. */
   readonly kinds: readonly string[];
-  /** Folder for what the processes print. */
+  /** Folder for the output of the processes; undefined to discard it. */
   readonly logs: string | undefined;
 }
 
-/** A whole system under load and disturbance, with a journal of all that was seen. */
+/** Runs a whole system under load with disruptions, and records what callers and backend servers observe in a journal. */
 export default class ChaosRun {
-  readonly journal: Journal = { works: [], starts: [], disruptions: [], crashes: [] };
+  readonly journal: Journal = { workItems: [], starts: [], disruptions: [], crashes: [] };
 
-  /** Slots that no task could be started in at the end. */
+  /** Number of slots in which no task could be started at the end. */
   unusableSlots = 0;
 
-  /** The replacement of all processes, when that was asked for. */
-  rolling: Rolling | undefined;
+  /** The rolling replacement of all processes, if requested. */
+  rolling: RollingReplacement | undefined;
 
   private readonly timer = SystemTimer.create();
 
@@ -50,7 +50,7 @@
 
   private readonly supervisor: Supervisor;
 
-  private readonly callersEnd = new AbortController();
+  private readonly stopCallers = new AbortController();
 
   private cluster!: Cluster;
 
@@ -66,20 +66,20 @@
     });
   }
 
-  /** Creates a run that has not begun. */
+  /** Creates a run without starting any process. */
   static create(options: ChaosOptions): ChaosRun {
     return new ChaosRun(options);
   }
 
-  /** Starts the system, disturbs it under load, lets it come to rest and stops it. */
+  /** Starts the system, disrupts it under load, waits until it has recovered, and stops it. */
   async run(): Promise<void> {
     await this.start();
     const callers = this.startCallers();
-    await this.disturb();
-    await this.supervisor.settled();
-    await this.timer.sleep(CALM_MS);
-    this.callersEnd.abort();
-    await Promise.race([callers, this.timer.sleep(FINISH_MS)]);
+    await this.disrupt();
+    await this.supervisor.whenRestarted();
+    await this.timer.sleep(SETTLE_MS);
+    this.stopCallers.abort();
+    await Promise.race([callers, this.timer.sleep(FINISH_TIMEOUT_MS)]);
     const { size } = this.options;
     const slots = size.backends * size.slots;
     const { entryNames } = this.cluster;
@@ -97,7 +97,7 @@
       printed: (name: string, line: string) => this.logs.add(name, line),
       exited: (name: string, code: number | null, signal: NodeJS.Signals | null) => {
         this.logs.add(name, `exited with code ${code}, signal ${signal}`);
-        this.supervisor.exited(name, code, signal);
+        this.supervisor.handleExit(name, code, signal);
       },
     };
     const recorder = await this.recorder.listen();
@@ -115,22 +115,28 @@
 
   private async startCallers(): Promise<void> {
     const { callers } = this.options;
-    setMaxListeners(0, this.callersEnd.signal);
+    setMaxListeners(0, this.stopCallers.signal);
     const { timer, client, journal, cluster } = this;
-    const runs = Array.from({ length: callers }, (_, number) => {
-      const random = this.random(100 + number);
+    const runs = Array.from({ length: callers }, (_, index) => {
+      const random = this.random(100 + index);
       const entries = () => cluster.entryNames;
-      const caller = Caller.create({ timer, client, random, entries, works: journal.works });
-      return caller.run(this.callersEnd.signal);
+      const caller = ChaosCaller.create({
+        timer,
+        client,
+        random,
+        entries,
+        workItems: journal.workItems,
+      });
+      return caller.run(this.stopCallers.signal);
     });
     await Promise.all(runs);
   }
 
-  private async disturb(): Promise<void> {
+  private async disrupt(): Promise<void> {
     const { timer, cluster, supervisor, journal } = this;
     if (this.options.rolling) {
-      this.rolling = Rolling.create(timer, cluster, supervisor, journal);
-      await timer.sleep(CALM_MS);
+      this.rolling = RollingReplacement.create(timer, cluster, supervisor, journal);
+      await timer.sleep(SETTLE_MS);
       await this.rolling.run();
       return;
     }
@@ -143,7 +149,7 @@
     await disruptor.run(stop.signal);
   }
 
-  /** A source of its own for each part, so that one part's draws do not shift another's. */
+  /** A separate random source for each part, so that draws of one part don't affect another. */
   private random(part: number): Random {
     return Random.fromSeed(this.options.seed * 1000 + part);
   }
--- a/tools/chaos/Disruption.ts
+++ b/tools/chaos/Disruption.ts
@@ -1,5 +1,6 @@
-/** Something that was done to a process or to the platform stand-in. */
+/** A fault injected into a process or the platform stand-in, or its end. */
 export default interface Disruption {
+  /** Monotonic time, in milliseconds. */
   readonly at: number;
   readonly kind: string;
   readonly target: string;
--- a/tools/chaos/EntryClient.ts
+++ b/tools/chaos/EntryClient.ts
@@ -1,14 +1,14 @@
 import { Agent, type Dispatcher } from 'undici';
 import type Cluster from '../harness/Cluster';
-import type Attempt from './Attempt';
-import type Work from './Work';
+import type CallerAttempt from './CallerAttempt';
+import type WorkItem from './WorkItem';
 
-/** How long a job's submission waits for the answer. */
+/** Time that a job's submission asks the entry to wait for the answer. */
 const WAIT_MS = 4000;
-/** How long a caller waits for anything at all on a connection. */
+/** Time without any data on a connection after which the caller gives up. */
 const OVERDUE_MS = 8000;
 const REQUEST_DEADLINE_MS = 6000;
-/** Errors before anything was sent. */
+/** Errors that occur before anything is sent. */
 const REFUSED_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT']);
 const OVERDUE_CODES = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT']);
 
@@ -22,7 +22,7 @@
   readonly results?: readonly { readonly output: Output }[];
 }
 
-/** Sends the requests of all callers to the entries and notes what comes back. */
+/** Sends the requests of all callers to the entries and records their answers. */
 export default class EntryClient {
   private readonly agent = new Agent({
     headersTimeout: OVERDUE_MS,
@@ -33,34 +33,34 @@
 
   private constructor(private readonly cluster: Cluster) {}
 
-  /** Creates the client of a cluster's callers. */
+  /** Creates a client of a cluster's entries. */
   static of(cluster: Cluster): EntryClient {
     return new EntryClient(cluster);
   }
 
-  /** Submits a piece of work through an entry. */
-  submit(work: Work, entry: string): Promise<Attempt> {
+  /** Submits a work item through an entry. */
+  submit(work: WorkItem, entry: string): Promise<CallerAttempt> {
     return this.send(work, entry, 'submit', work.kind === 'job' ? jobOf(work) : requestOf(work));
   }
 
   /** Cancels a job through an entry. */
-  cancel(work: Work, entry: string): Promise<Attempt> {
+  cancel(work: WorkItem, entry: string): Promise<CallerAttempt> {
     const path = `/v1/services/booking/jobs/${work.id}`;
     return this.send(work, entry, 'cancel', { method: 'DELETE', path });
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.agent.destroy();
   }
 
   private async send(
-    work: Work,
+    work: WorkItem,
     entry: string,
-    action: Attempt['action'],
+    action: CallerAttempt['action'],
     req: Omit<Dispatcher.RequestOptions, 'origin'>,
-  ): Promise<Attempt> {
-    const attempt: Attempt = {
+  ): Promise<CallerAttempt> {
+    const attempt: CallerAttempt = {
       ...{ entry, action, sentAt: performance.now(), endedAt: undefined },
       ...{ outcome: 'open', reason: '', retryAfterMs: 0, outputs: [] },
     };
@@ -80,13 +80,13 @@
   }
 }
 
-function jobOf({ id, taskMs }: Work): Omit<Dispatcher.RequestOptions, 'origin'> {
+function jobOf({ id, taskMs }: WorkItem): Omit<Dispatcher.RequestOptions, 'origin'> {
   const tasks = taskMs.map((ms, n) => ({ input: { ms, output: { id, n } } }));
   const path = `/v1/services/booking/jobs/${id}?wait=${WAIT_MS}`;
   return { method: 'PUT', path, body: JSON.stringify({ tasks }) };
 }
 
-function requestOf(work: Work): Omit<Dispatcher.RequestOptions, 'origin'> {
+function requestOf(work: WorkItem): Omit<Dispatcher.RequestOptions, 'origin'> {
   const { id, taskMs, keyed, idempotent } = work;
   const headers = {
     'magnoliakeel-idempotent': String(idempotent),
@@ -98,10 +98,10 @@
 }
 
 function readAnswer(
-  work: Work,
+  work: WorkItem,
   res: Dispatcher.ResponseData,
   text: string,
-): Pick<Attempt, 'outcome' | 'reason' | 'retryAfterMs' | 'outputs'> {
+): Pick<CallerAttempt, 'outcome' | 'reason' | 'retryAfterMs' | 'outputs'> {
   const outcome = String(res.headers['magnoliakeel-outcome'] ?? `status ${res.statusCode}`);
   const body = JSON.parse(text) as Body & Output;
   const seconds = Number(res.headers['retry-after'] ?? 0);
@@ -110,7 +110,7 @@
   return { outcome, reason: body.reason ?? '', retryAfterMs, outputs };
 }
 
-function outputsOf(work: Work, body: Body & Output): unknown[] {
+function outputsOf(work: WorkItem, body: Body & Output): unknown[] {
   if (work.kind === 'request') return [body.output];
   return (body.results ?? []).map(({ output }) => output.output);
 }
--- a/tools/chaos/Findings.ts
+++ b/tools/chaos/Findings.ts
@@ -1,20 +1,21 @@
-/** What the checker found in a run's journal. */
+/** What `checkJournal` found in the journal of a run. */
 export default interface Findings {
   readonly jobs: number;
   readonly requests: number;
   readonly attempts: number;
-  /** Final answers by outcome. */
+  /** Number of final answers by outcome. */
   readonly finals: Readonly<Record<string, number>>;
-  /** All answers by outcome, resubmissions too. */
+  /** Number of all answers by outcome, including those to resubmissions. */
   readonly answers: Readonly<Record<string, number>>;
-  /** Reasons of the answers "unknown", how often each was given. */
+  /** Number of "unknown" answers by reason. */
   readonly doubts: Readonly<Record<string, number>>;
   readonly starts: number;
-  /** Second starts of retryable requests, which are allowed and cost work. */
+  /** Repeated starts of idempotent requests, which are allowed but waste work. */
   readonly waste: number;
-  /** Each broken promise by its name, with one line for each case. */
+  /** Violations by name of the guarantee, with a line of text for each case. */
   readonly broken: Readonly<Record<string, readonly string[]>>;
-  /** Longest time from a disruption to the final answer of a piece of work that was open then. */
+  /** Longest time, in milliseconds, from a disruption to the final answer of a work item that was open at that time. */
   readonly longestWaitMs: number;
+  /** Kind and target of that disruption. */
   readonly longestWaitAfter: string;
 }
--- a/tools/chaos/Journal.ts
+++ b/tools/chaos/Journal.ts
@@ -1,12 +1,12 @@
 import type Disruption from './Disruption';
-import type Start from './Start';
-import type Work from './Work';
+import type ReportedStart from './ReportedStart';
+import type WorkItem from './WorkItem';
 
-/** Everything that callers and backend servers saw in a run, and what was done to the system. */
+/** What callers and backend servers observed in a run, and the disruptions of the system. */
 export default interface Journal {
-  readonly works: Work[];
-  readonly starts: Start[];
+  readonly workItems: WorkItem[];
+  readonly starts: ReportedStart[];
   readonly disruptions: Disruption[];
-  /** Processes that ended without having been told to. */
+  /** Descriptions of processes that ended without a signal from the run, or failed to restart. */
   readonly crashes: string[];
 }
--- a/tools/chaos/LogFolder.ts
+++ b/tools/chaos/LogFolder.ts
@@ -1,19 +1,19 @@
 import { createWriteStream, mkdirSync, type WriteStream } from 'node:fs';
 import path from 'node:path';
 
-/** Writes what each process prints to a file of its own, with the time; does nothing without a folder. */
+/** Writes the output of each process to its own file, with timestamps; does nothing without a folder. */
 export default class LogFolder {
   private readonly files = new Map<string, WriteStream>();
 
   private constructor(private readonly folder: string | undefined) {}
 
-  /** Creates the folder if there is to be one. */
+  /** Creates a log folder, and the directory itself if a path is given. */
   static at(folder: string | undefined): LogFolder {
     if (folder !== undefined) mkdirSync(folder, { recursive: true });
     return new LogFolder(folder);
   }
 
-  /** Adds a line to the file of a process. */
+  /** Appends a line to the file of a process. */
   add(name: string, line: string): void {
     if (this.folder === undefined) return;
     const file = this.files.get(name) ?? createWriteStream(path.join(this.folder, `${name}.log`));
--- a/tools/chaos/Recorder.ts
+++ b/tools/chaos/Recorder.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { json } from 'node:stream/consumers';
-import type Start from './Start';
+import type ReportedStart from './ReportedStart';
 
 interface Report {
   readonly backend: string;
@@ -9,11 +9,11 @@
   readonly output: { readonly id: string; readonly n: number };
 }
 
-/** Takes the backend servers' reports of starts, so that they survive the death of their senders. */
+/** Collects the backend servers' reports of starts, so that the reports outlive their senders. */
 export default class Recorder {
   private readonly server: Server;
 
-  private constructor(private readonly starts: Start[]) {
+  private constructor(private readonly starts: ReportedStart[]) {
     this.server = createServer(async (req, res) => {
       const { backend, task, output } = (await json(req)) as Report;
       this.starts.push({ backend, task, id: output.id, index: output.n, at: performance.now() });
@@ -22,12 +22,12 @@
     this.server.keepAliveTimeout = 0;
   }
 
-  /** Creates a recorder that adds to a list. */
-  static into(starts: Start[]): Recorder {
+  /** Creates a recorder that appends to the list. */
+  static into(starts: ReportedStart[]): Recorder {
     return new Recorder(starts);
   }
 
-  /** Listens on loopback and returns the address. */
+  /** Listens on a free loopback port and returns the address, "ip:port". */
   async listen(): Promise<string> {
     await new Promise<void>((resolve) => {
       this.server.listen(0, '127.0.0.1', resolve);
@@ -35,7 +35,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Stops listening. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/tools/chaos/Supervisor.ts
+++ b/tools/chaos/Supervisor.ts
@@ -4,7 +4,7 @@
 import type Cluster from '../harness/Cluster';
 import type Journal from './Journal';
 
-const RESTART_MS = 1000;
+const RESTART_DELAY_MS = 1000;
 
 interface SupervisorOptions {
   readonly timer: TimerService;
@@ -13,12 +13,12 @@
   readonly journal: Journal;
 }
 
-/** Starts each process again under its name after it ended, as the platform would. */
+/** Restarts each process under its name after its exit, like the platform. */
 export default class Supervisor {
-  /** Processes that are up and were not touched. */
-  private readonly up = new Set<string>();
+  /** Names of running processes that are not disrupted. */
+  private readonly undisruptedNames = new Set<string>();
 
-  private readonly told = new Set<string>();
+  private readonly signalled = new Set<string>();
 
   private readonly restarts = new Map<string, Promise<void>>();
 
@@ -26,67 +26,67 @@
 
   private constructor(private readonly options: SupervisorOptions) {}
 
-  /** Creates a supervisor that watches nothing yet. */
+  /** Creates a supervisor without processes. */
   static create(options: SupervisorOptions): Supervisor {
     return new Supervisor(options);
   }
 
-  /** Takes over processes that have been started. */
+  /** Starts supervising processes that are already running. */
   watch(names: readonly string[]): void {
-    names.forEach((name) => this.up.add(name));
+    names.forEach((name) => this.undisruptedNames.add(name));
   }
 
-  /** Names with a prefix that are up and untouched. */
-  untouched(prefix: string): string[] {
-    return [...this.up].filter((name) => name.startsWith(prefix)).sort();
+  /** Names with a prefix of running processes that are not disrupted, sorted. */
+  undisrupted(prefix: string): string[] {
+    return [...this.undisruptedNames].filter((name) => name.startsWith(prefix)).sort();
   }
 
-  /** Notes that a process is being disturbed; it counts as touched until `recovered` or its restart. */
-  touch(name: string): void {
-    this.up.delete(name);
+  /** Records that a process is disrupted, until `markRecovered` or its restart. */
+  markDisrupted(name: string): void {
+    this.undisruptedNames.delete(name);
   }
 
-  /** Notes that a process runs undisturbed again. */
-  recovered(name: string): void {
-    if (this.options.cluster().processes.names.includes(name)) this.up.add(name);
+  /** Records that a process is no longer disrupted. */
+  markRecovered(name: string): void {
+    if (this.options.cluster().processes.names.includes(name)) this.undisruptedNames.add(name);
   }
 
-  /** Ends a process by a signal; it is started again once it has ended. */
-  end(name: string, signal: NodeJS.Signals): void {
-    this.touch(name);
-    this.told.add(name);
+  /** Sends a terminating signal to a process; it is restarted after its exit. */
+  signal(name: string, signal: NodeJS.Signals): void {
+    this.markDisrupted(name);
+    this.signalled.add(name);
     this.options.cluster().processes.signal(name, signal);
   }
 
-  /** Takes note that a process has ended. */
-  exited(name: string, code: number | null, signal: NodeJS.Signals | null): void {
+  /** Handles the exit of a process: records a crash if it was unexpected, and restarts the process. */
+  handleExit(name: string, code: number | null, signal: NodeJS.Signals | null): void {
     if (this.isClosing) return;
-    const wasTold = this.told.delete(name);
-    // The platform starts an entry again that the others removed.
-    if (!wasTold && code !== exitCodes.removed) {
+    const wasSignalled = this.signalled.delete(name);
+    // An entry that the others removed exits by itself, and the platform restarts it: no crash.
+    if (!wasSignalled && code !== exitCodes.removed) {
       this.options.journal.crashes.push(`${name}: code ${code}, signal ${signal}`);
     }
-    this.touch(name);
+    this.markDisrupted(name);
     this.restarts.set(name, this.restart(name));
   }
 
-  /** Resolves when all processes are up. */
-  async settled(): Promise<void> {
+  /** Resolves when all pending restarts are done. */
+  async whenRestarted(): Promise<void> {
     await Promise.all(this.restarts.values());
   }
 
-  /** Starts nothing any more. */
+  /** Stops restarting processes. */
   close(): void {
     this.isClosing = true;
   }
 
   private async restart(name: string): Promise<void> {
     const { timer, random, journal } = this.options;
-    await timer.sleep(random.jitter(RESTART_MS));
+    await timer.sleep(random.jitter(RESTART_DELAY_MS));
     const prefix = name.split('-')[0]!;
     try {
       await starters[prefix]!(this.options.cluster(), name);
-      this.up.add(name);
+      this.undisruptedNames.add(name);
     } catch (error) {
       journal.crashes.push(`${name} did not start again: ${(error as Error).message}`);
     }
--- a/tools/chaos/chaosManifest.ts
+++ b/tools/chaos/chaosManifest.ts
@@ -1,4 +1,4 @@
-/** The manifest of a chaos run: one service that all callers use. */
+/** The manifest of a chaos run, with one service that all callers use. */
 const chaosManifest = {
   services: [
     {
--- a/tools/chaos/checkJournal.ts
+++ b/tools/chaos/checkJournal.ts
@@ -1,41 +1,43 @@
-import type Attempt from './Attempt';
+import type CallerAttempt from './CallerAttempt';
 import type Findings from './Findings';
 import type Journal from './Journal';
-import type Start from './Start';
-import type Work from './Work';
+import type ReportedStart from './ReportedStart';
+import type WorkItem from './WorkItem';
 
 /**
- * Checks the promises to callers from what callers and backend servers saw,
- * without any knowledge of how the system keeps them.
+ * Checks the guarantees to callers against what callers and backend servers observed,
+ * independently of how the system implements them.
  */
 export default function checkJournal(journal: Journal): Findings {
-  const { works, starts } = journal;
+  const { workItems, starts } = journal;
   const byWork = groupById(starts);
-  const ids = new Set(works.map(({ id }) => id));
-  const startsOf = (work: Work) => byWork.get(work.id) ?? [];
-  const attempts = works.flatMap((work) => work.attempts);
+  const ids = new Set(workItems.map(({ id }) => id));
+  const startsOf = (work: WorkItem) => byWork.get(work.id) ?? [];
+  const attempts = workItems.flatMap((work) => work.attempts);
   const submitted = attempts.filter(({ action }) => action === 'submit');
-  const repeated = works.map((work) => ({ work, repeats: repeatsOf(startsOf(work)) }));
+  const repeatsByItem = workItems.map((work) => ({ work, repeats: repeatsOf(startsOf(work)) }));
   return {
-    jobs: works.filter(({ kind }) => kind === 'job').length,
-    requests: works.filter(({ kind }) => kind === 'request').length,
+    jobs: workItems.filter(({ kind }) => kind === 'job').length,
+    requests: workItems.filter(({ kind }) => kind === 'request').length,
     attempts: attempts.length,
-    finals: countBy(works, ({ final }) => final ?? 'none'),
+    finals: countBy(workItems, ({ final }) => final ?? 'none'),
     answers: countBy(submitted, ({ outcome }) => outcome),
     doubts: countBy(
       submitted.filter(({ outcome }) => outcome === 'unknown'),
       ({ reason }) => reason.replace(/task \d+/, 'task'),
     ),
     starts: starts.length,
-    waste: sum(repeated.filter(({ work }) => work.idempotent).map(({ repeats }) => repeats.length)),
+    waste: sum(
+      repeatsByItem.filter(({ work }) => work.idempotent).map(({ repeats }) => repeats.length),
+    ),
     broken: {
-      doubled: repeated
+      doubled: repeatsByItem
         .filter(({ work }) => !work.idempotent)
         .flatMap(({ work, repeats }) => repeats.map((start) => describeStart(work, start))),
-      lost: works.filter(({ final }) => final === undefined).map((work) => describe(work)),
-      falseNotRun: works.flatMap((work) => falseNotRuns(work, startsOf(work))),
-      wrongAnswers: works.flatMap((work) => wrongAnswers(work, startsOf(work))),
-      unexpectedAnswers: works.flatMap(unexpectedAnswers),
+      lost: workItems.filter(({ final }) => final === undefined).map((work) => describe(work)),
+      falseNotRun: workItems.flatMap((work) => falseNotRuns(work, startsOf(work))),
+      wrongAnswers: workItems.flatMap((work) => wrongAnswers(work, startsOf(work))),
+      unexpectedAnswers: workItems.flatMap(unexpectedAnswers),
       unknownStarts: starts
         .filter(({ id }) => !ids.has(id))
         .map(({ task, backend }) => `${task} on ${backend}`),
@@ -45,8 +47,8 @@
   };
 }
 
-function groupById(starts: readonly Start[]): Map<string, Start[]> {
-  const groups = new Map<string, Start[]>();
+function groupById(starts: readonly ReportedStart[]): Map<string, ReportedStart[]> {
+  const groups = new Map<string, ReportedStart[]>();
   starts.forEach((start) => {
     const group = groups.get(start.id);
     if (group) group.push(start);
@@ -55,8 +57,8 @@
   return groups;
 }
 
-/** Starts of tasks that had been started before. */
-function repeatsOf(starts: readonly Start[]): Start[] {
+/** Starts of tasks that had already been started. */
+function repeatsOf(starts: readonly ReportedStart[]): ReportedStart[] {
   const seen = new Set<number>();
   return starts.filter(({ index }) => {
     if (seen.has(index)) return true;
@@ -66,15 +68,15 @@
 }
 
 /**
- * Answers "not run" that do not hold: something had started before the caller
- * asked, or while nobody else asked, or a start came although all who had
- * asked were told that it did not run.
+ * False "not run" answers: a task started before the attempt was sent, or during
+ * it without a concurrent attempt, or a task started after every attempt had been
+ * answered "not run".
  */
-function falseNotRuns(work: Work, starts: readonly Start[]): string[] {
+function falseNotRuns(work: WorkItem, starts: readonly ReportedStart[]): string[] {
   const submitted = work.attempts.filter(({ action }) => action === 'submit');
   const refused = submitted.filter(({ outcome }) => outcome === 'not-run');
   const early = refused.filter((attempt) =>
-    starts.some((start) => start.at < falseBefore(attempt, submitted)),
+    starts.some((start) => start.at < disprovedBefore(attempt, submitted)),
   );
   const orphans = starts.filter((start) => !submitted.some((attempt) => allows(attempt, start)));
   return [
@@ -83,23 +85,23 @@
   ];
 }
 
-/** A start before this time proves the answer false. */
-function falseBefore(attempt: Attempt, all: readonly Attempt[]): number {
+/** Any start before this time disproves the answer. */
+function disprovedBefore(attempt: CallerAttempt, all: readonly CallerAttempt[]): number {
   const isAlone = all.every((other) => other === attempt || !overlaps(other, attempt));
   return isAlone ? attempt.endedAt! : attempt.sentAt;
 }
 
-function overlaps(a: Attempt, b: Attempt): boolean {
+function overlaps(a: CallerAttempt, b: CallerAttempt): boolean {
   return a.sentAt < (b.endedAt ?? Infinity) && b.sentAt < (a.endedAt ?? Infinity);
 }
 
-function allows({ sentAt, endedAt, outcome }: Attempt, start: Start): boolean {
+function allows({ sentAt, endedAt, outcome }: CallerAttempt, start: ReportedStart): boolean {
   if (sentAt > start.at) return false;
   return outcome !== 'not-run' || endedAt! >= start.at;
 }
 
-/** Answers "completed" that are partial, foreign, or name tasks that never started. */
-function wrongAnswers(work: Work, starts: readonly Start[]): string[] {
+/** "completed" answers that are partial, belong to another work item, or include tasks that never started. */
+function wrongAnswers(work: WorkItem, starts: readonly ReportedStart[]): string[] {
   const started = new Set(starts.map(({ index }) => index));
   return work.attempts
     .filter(({ outcome, action }) => outcome === 'completed' && action === 'submit')
@@ -111,8 +113,8 @@
     .map(({ entry, outputs }) => `${describe(work)}: ${entry} answered ${outputs.length} results`);
 }
 
-/** Outcomes that no caller here has given a cause for. */
-function unexpectedAnswers(work: Work): string[] {
+/** Answers with outcomes that the callers' actions don't explain. */
+function unexpectedAnswers(work: WorkItem): string[] {
   const isCancelled = work.attempts.some(({ action }) => action === 'cancel');
   return work.attempts
     .filter(({ action }) => action === 'submit')
@@ -125,9 +127,9 @@
   ...['refused', 'broken', 'overdue'],
 ]);
 
-function longestWait({ works, disruptions }: Journal) {
+function longestWait({ workItems, disruptions }: Journal) {
   const waits = disruptions.flatMap((disruption) =>
-    works
+    workItems
       .filter(({ madeAt, finalAt }) => madeAt < disruption.at && (finalAt ?? 0) > disruption.at)
       .map(({ finalAt }) => ({ disruption, ms: finalAt! - disruption.at })),
   );
@@ -138,13 +140,13 @@
 
 const NO_WAIT = { disruption: { at: 0, kind: 'no disruption', target: '' }, ms: 0 };
 
-function describe({ kind, id, keyed, idempotent, taskMs }: Work): string {
+function describe({ kind, id, keyed, idempotent, taskMs }: WorkItem): string {
   return [kind, id, keyed ? 'keyed' : 'unkeyed', idempotent ? 'idempotent' : '', taskMs.length]
     .filter((part) => part !== '')
     .join(' ');
 }
 
-function describeStart(work: Work, { task, backend, at }: Start): string {
+function describeStart(work: WorkItem, { task, backend, at }: ReportedStart): string {
   return `${describe(work)}: ${task} on ${backend} at ${Math.round(at)}`;
 }
 
--- a/tools/chaos/makeWork.ts
+++ b/tools/chaos/createWorkItem.ts
@@ -1,5 +1,5 @@
 import type Random from '../../src/core/Random';
-import type Work from './Work';
+import type WorkItem from './WorkItem';
 
 const JOB_SHARE = 0.5;
 const KEYED_SHARE = 0.6;
@@ -8,8 +8,8 @@
 const MIN_TASK_MS = 20;
 const MAX_TASK_MS = 300;
 
-/** Makes a job, or a single request with or without a key, idempotent or not. */
-export default function makeWork(random: Random): Work {
+/** Creates a random work item: a job, or a single request with or without a key, idempotent or not. */
+export default function createWorkItem(random: Random): WorkItem {
   const isJob = random.unit() < JOB_SHARE;
   const isKeyed = random.unit() < KEYED_SHARE;
   const isIdempotent = random.unit() < IDEMPOTENT_SHARE;
@@ -19,7 +19,7 @@
     kind: isJob ? 'job' : 'request',
     keyed: isJob || isKeyed,
     idempotent: !isJob && isIdempotent,
-    taskMs: Array.from({ length: size }, () => MIN_TASK_MS + random.below(spread)),
+    taskMs: Array.from({ length: size }, () => MIN_TASK_MS + random.below(TASK_MS_RANGE)),
     madeAt: performance.now(),
     attempts: [],
     finalAt: undefined,
@@ -27,9 +27,9 @@
   };
 }
 
-const spread = MAX_TASK_MS - MIN_TASK_MS;
+const TASK_MS_RANGE = MAX_TASK_MS - MIN_TASK_MS;
 
-/** A UUIDv7 of this moment. */
+/** A UUIDv7 with the current time. */
 function newId(random: Random): string {
   const time = Date.now().toString(16).padStart(12, '0');
   const hex = (digits: number) =>
--- a/tools/chaos/main.ts
+++ b/tools/chaos/main.ts
@@ -18,14 +18,14 @@
 
 const ZONES = 3;
 const CONNECTIONS = 64;
-const SKEW_MS = 5000;
-const SEEDS = 1_000_000;
+const CLOCK_SKEW_MS = 5000;
+const SEED_RANGE = 1_000_000;
 
 const cli = cac('chaos');
 cli
   .command('', 'Disturb a whole system under load and check what callers were promised')
   .option('--seconds <number>', 'How long to disturb it', { default: 60 })
-  .option('--seed <number>', 'Seed of the schedule', { default: Date.now() % SEEDS })
+  .option('--seed <number>', 'Seed of the schedule', { default: Date.now() % SEED_RANGE })
   .option('--rolling', 'Replace all processes one by one instead, in good order', {
     default: false,
   })
@@ -33,7 +33,7 @@
   .option('--backends <number>', 'Sidecars, each with its backend server', { default: 8 })
   .option('--slots <number>', 'Slots of each backend server', { default: 8 })
   .option('--callers <number>', 'Callers at once', { default: 24 })
-  .option('--skew <ms>', 'Clock difference that the entries allow for', { default: SKEW_MS })
+  .option('--skew <ms>', 'Clock difference that the entries allow for', { default: CLOCK_SKEW_MS })
   .option('--kinds <names>', 'Kinds of disruptions, separated by commas', { default: '' })
   .option('--logs <folder>', 'Write what the processes print to files here')
   .action(run);
--- a/tools/chaos/probeSlots.ts
+++ b/tools/chaos/probeSlots.ts
@@ -1,16 +1,16 @@
 import type TimerService from '../../src/core/TimerService';
 import type EntryClient from './EntryClient';
 import type Journal from './Journal';
-import type Work from './Work';
+import type WorkItem from './WorkItem';
 
 const TASK_MS = 2000;
-const TRIES = 5;
-const PAUSE_MS = 1000;
+const MAX_ATTEMPTS = 5;
+const RETRY_MS = 1000;
 
 /**
- * Submits a job with a task for each slot and returns how many slots did not
- * start one while the first task ran. Some tries are made, since processes may
- * just have come back.
+ * Submits a job with one task per slot, and returns the number of slots that did not
+ * start a task while the first one was running. Makes several attempts, because
+ * processes may have restarted only just before.
  */
 export default async function probeSlots(
   client: EntryClient,
@@ -20,19 +20,19 @@
   timer: TimerService,
 ): Promise<number> {
   let missing = slots;
-  for (let attempt = 0; attempt < TRIES && missing > 0; attempt += 1) {
-    const work = probe(slots, attempt);
-    journal.works.push(work);
+  for (let attempt = 0; attempt < MAX_ATTEMPTS && missing > 0; attempt += 1) {
+    const work = createProbe(slots, attempt);
+    journal.workItems.push(work);
     const answer = await client.submit(work, entries[attempt % entries.length]!);
     work.final = answer.outcome;
     work.finalAt = answer.endedAt;
-    missing = slots - startedTogether(journal, work);
-    if (missing > 0) await timer.sleep(PAUSE_MS);
+    missing = slots - countConcurrentStarts(journal, work);
+    if (missing > 0) await timer.sleep(RETRY_MS);
   }
   return missing;
 }
 
-function probe(slots: number, attempt: number): Work {
+function createProbe(slots: number, attempt: number): WorkItem {
   const time = Date.now().toString(16).padStart(12, '0');
   return {
     id: `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-00000000000${attempt}`,
@@ -41,8 +41,8 @@
   };
 }
 
-function startedTogether({ starts }: Journal, { id }: Work): number {
-  const own = starts.filter((start) => start.id === id);
-  const first = Math.min(...own.map(({ at }) => at));
-  return own.filter(({ at }) => at < first + TASK_MS).length;
+function countConcurrentStarts({ starts }: Journal, { id }: WorkItem): number {
+  const probeStarts = starts.filter((start) => start.id === id);
+  const first = Math.min(...probeStarts.map(({ at }) => at));
+  return probeStarts.filter(({ at }) => at < first + TASK_MS).length;
 }
--- a/tools/harness/Processes.ts
+++ b/tools/harness/Processes.ts
@@ -96,7 +96,7 @@
   }
 
   /** Resolves with the exit code once a process has ended; null if a signal ended it or it isn't running. */
-  async ended(name: string): Promise<number | null> {
+  async whenExited(name: string): Promise<number | null> {
     const child = this.children.get(name);
     if (!child || child.exitCode !== null) return child?.exitCode ?? null;
     return new Promise((resolve) => {
@@ -108,7 +108,7 @@
   async stopAll(timeoutMs = 5000): Promise<void> {
     const children = [...this.children.values()];
     children.forEach((child) => child.kill('SIGTERM'));
-    const all = Promise.all([...this.children.keys()].map((name) => this.ended(name)));
+    const all = Promise.all([...this.children.keys()].map((name) => this.whenExited(name)));
     const timeout = setTimeout(() => children.forEach((child) => child.kill('SIGKILL')), timeoutMs);
     await all;
     clearTimeout(timeout);
--- a/tools/measure/Answered.ts
+++ b/tools/measure/AnsweredArrival.ts
@@ -1,7 +1,7 @@
 import type Arrival from './Arrival';
 
 /** How an arrival was answered. */
-export default interface Answered {
+export default interface AnsweredArrival {
   readonly arrival: Arrival;
   /** Outcome in the answer's header (otherwise its status code), or "broken" when the connection broke. */
   readonly outcome: string;
--- a/tools/measure/CountReader.ts
+++ b/tools/measure/CountReader.ts
@@ -44,7 +44,7 @@
   }
 
   /** Records the counters of a daemon that is about to be stopped. */
-  async keep(name: string): Promise<void> {
+  async recordStopped(name: string): Promise<void> {
     this.stopped.push([name, await this.read(name), this.before.get(name)]);
     this.before.delete(name);
     this.reads.delete(name);
--- a/tools/measure/LoadGenerator.ts
+++ b/tools/measure/LoadGenerator.ts
@@ -2,7 +2,7 @@
 import { Agent, request } from 'undici';
 import type Cluster from '../harness/Cluster';
 import type Arrival from './Arrival';
-import type Answered from './Answered';
+import type AnsweredArrival from './AnsweredArrival';
 
 /**
  * Open-loop load generator: submits arrivals on schedule, whether or not earlier ones are answered.
@@ -25,7 +25,7 @@
   }
 
   /** Submits all arrivals, and returns their outcomes once the last is answered. */
-  async run(arrivals: readonly Arrival[]): Promise<Answered[]> {
+  async run(arrivals: readonly Arrival[]): Promise<AnsweredArrival[]> {
     this.startedAt = performance.now();
     const answers = arrivals.map(async (arrival) => {
       await sleep(arrival.atMs);
@@ -36,7 +36,7 @@
     return all;
   }
 
-  private async request(arrival: Arrival): Promise<Answered> {
+  private async request(arrival: Arrival): Promise<AnsweredArrival> {
     const body = JSON.stringify({ ms: arrival.runs[0] });
     const headers: Record<string, string> = { 'magnoliakeel-team': arrival.team };
     if (this.deadlineMs) headers['magnoliakeel-deadline-ms'] = String(this.deadlineMs);
@@ -56,7 +56,7 @@
     return this.answered(arrival, 'broken');
   }
 
-  private async job(arrival: Arrival): Promise<Answered> {
+  private async job(arrival: Arrival): Promise<AnsweredArrival> {
     const id = randomUUID();
     const body = JSON.stringify({ tasks: arrival.runs.map((ms) => ({ input: { ms } })) });
     const headers = {
@@ -99,7 +99,7 @@
     return String(res.headers['magnoliakeel-outcome'] ?? res.statusCode);
   }
 
-  private answered(arrival: Arrival, outcome: string): Answered {
+  private answered(arrival: Arrival, outcome: string): AnsweredArrival {
     return { arrival, outcome, responseMs: performance.now() - this.startedAt - arrival.atMs };
   }
 }
--- a/tools/measure/RunResult.ts
+++ b/tools/measure/RunResult.ts
@@ -1,12 +1,12 @@
 import type CountReader from './CountReader';
-import type Stretches from './Stretches';
+import type StretchHistograms from './StretchHistograms';
 
 /** Results of one run of a scenario with a policy. */
 export default interface RunResult {
   readonly scenario: string;
   readonly policy: string;
-  readonly stretches: Stretches;
-  readonly ideal: Stretches;
+  readonly stretches: StretchHistograms;
+  readonly ideal: StretchHistograms;
   /** Number of answers by outcome. */
   readonly outcomes: Readonly<Record<string, number>>;
   /** Number of tasks submitted. */
--- a/tools/measure/Stretches.ts
+++ b/tools/measure/StretchHistograms.ts
@@ -2,7 +2,7 @@
 import type Arrival from './Arrival';
 
 /** Distributions of stretch (response time / least possible run time), separate for requests and jobs. */
-export default class Stretches {
+export default class StretchHistograms {
   readonly request = emptyHistogram();
 
   readonly job = emptyHistogram();
@@ -10,8 +10,8 @@
   private constructor() {}
 
   /** Creates an empty collection. */
-  static create(): Stretches {
-    return new Stretches();
+  static create(): StretchHistograms {
+    return new StretchHistograms();
   }
 
   /**
--- a/tools/measure/describeResult.ts
+++ b/tools/measure/describeResult.ts
@@ -1,5 +1,5 @@
 import type RunResult from './RunResult';
-import type Stretches from './Stretches';
+import type StretchHistograms from './StretchHistograms';
 
 /** Formats the results of a run as text for people. */
 export default function describeResult(result: RunResult): string {
@@ -24,7 +24,7 @@
   return `  ${kind} stretch: ${summaryText(measured)}; ideal ${summaryText(idealSummary)}; p99 ${ratio} of ideal`;
 }
 
-function summaryText(summary: NonNullable<ReturnType<Stretches['summary']>>): string {
+function summaryText(summary: NonNullable<ReturnType<StretchHistograms['summary']>>): string {
   const { mean, p50, p99, p999 } = summary;
   return `mean ${mean.toFixed(3)} p50 ${p50.toFixed(3)} p99 ${p99.toFixed(2)} p99.9 ${p999.toFixed(2)}`;
 }
--- a/tools/measure/replayIdeal.ts
+++ b/tools/measure/replayIdeal.ts
@@ -1,5 +1,5 @@
 import type Arrival from './Arrival';
-import Stretches from './Stretches';
+import StretchHistograms from './StretchHistograms';
 
 /**
  * Stretches of the same arrivals in an ideal single queue with perfect knowledge: in the
@@ -9,9 +9,9 @@
   arrivals: readonly Arrival[],
   slots: number,
   hopMs: number,
-): Stretches {
+): StretchHistograms {
   const freeAt = new Array<number>(slots).fill(0);
-  const stretches = Stretches.create();
+  const stretches = StretchHistograms.create();
   arrivals.forEach((arrival) => {
     if (arrival.cancelAfterMs !== undefined) return;
     const ends = arrival.runs.map((run) => {
--- a/tools/measure/runScenario.ts
+++ b/tools/measure/runScenario.ts
@@ -1,7 +1,7 @@
 import Random from '../../src/core/Random';
 import Cluster from '../harness/Cluster';
 import type ClusterSize from '../harness/ClusterSize';
-import type Answered from './Answered';
+import type AnsweredArrival from './AnsweredArrival';
 import type Arrival from './Arrival';
 import CountReader from './CountReader';
 import HOP_MS from './HOP_MS';
@@ -11,7 +11,7 @@
 import type RunResult from './RunResult';
 import type Scenario from './Scenario';
 import scenarios from './scenarios';
-import Stretches from './Stretches';
+import StretchHistograms from './StretchHistograms';
 import Workload from './Workload';
 
 interface RunOptions {
@@ -94,10 +94,10 @@
   { scenario: name, policy, size, lengthMs, slower }: RunOptions,
   scenario: Scenario,
   arrivals: readonly Arrival[],
-  answers: readonly Answered[],
+  answers: readonly AnsweredArrival[],
 ): Omit<RunResult, 'counts' | 'final' | 'doubled'> {
   const slots = size.backends * size.slots;
-  const stretches = Stretches.create();
+  const stretches = StretchHistograms.create();
   const outcomes: Record<string, number> = {};
   answers.forEach(({ arrival, outcome, responseMs }) => {
     outcomes[outcome] = (outcomes[outcome] ?? 0) + 1;
--- a/tools/measure/scenarios.ts
+++ b/tools/measure/scenarios.ts
@@ -55,9 +55,9 @@
     load: (workload, fromMs, toMs) => workload.phase({ fromMs, toMs, load: 0.6, jobShare: 0.2 }),
     fault: async (cluster, counts) => {
       for (const name of [...cluster.entryNames]) {
-        await counts.keep(name);
+        await counts.recordStopped(name);
         cluster.processes.signal(name, 'SIGTERM');
-        await cluster.processes.ended(name);
+        await cluster.processes.whenExited(name);
         await cluster.startEntry(name);
       }
     },
@@ -66,7 +66,7 @@
     about: '60% load, a fifth in jobs, one entry killed with its jobs',
     load: (workload, fromMs, toMs) => workload.phase({ fromMs, toMs, load: 0.6, jobShare: 0.2 }),
     fault: async (cluster, counts) => {
-      await counts.keep('entry-1');
+      await counts.recordStopped('entry-1');
       cluster.processes.signal('entry-1', 'SIGKILL');
     },
   },
--- a/tools/measureCapacity/EntryLoad.ts
+++ b/tools/measureCapacity/EntryLoad.ts
@@ -1,5 +1,5 @@
 import Cluster from '../harness/Cluster';
-import Load from './Load';
+import JobLoad from './JobLoad';
 import manifestOf from './manifestOf';
 import sampleProcess from './sampleProcess';
 import StandInLinks from './StandInLinks';
@@ -41,8 +41,8 @@
   }
 
   /** Creates a load on the first entry whose jobs have `jobSize` tasks. */
-  callers(jobSize: number): Load {
-    return Load.to(this.cluster.callersOf('entry-1'), jobSize, 0);
+  createLoad(jobSize: number): JobLoad {
+    return JobLoad.to(this.cluster.callersOf('entry-1'), jobSize, 0);
   }
 
   /** Resident memory of the first entry, in megabytes of 1024 * 1024 bytes. */
@@ -51,7 +51,7 @@
   }
 
   /** Runs an action and returns the resources used during it. */
-  async costOf(action: () => Promise<unknown>): Promise<Cost> {
+  async measureCost(action: () => Promise<unknown>): Promise<Cost> {
     const before = this.sample();
     const startTotals = this.totals();
     await action();
--- a/tools/measureCapacity/Load.ts
+++ b/tools/measureCapacity/JobLoad.ts
@@ -6,7 +6,7 @@
 const PADDING = 'x'.repeat(150);
 
 /** Callers that submit jobs to one entry and read each answer in full. */
-export default class Load {
+export default class JobLoad {
   /** Number of tasks in completed jobs. */
   tasks = 0;
 
@@ -24,8 +24,8 @@
   ) {}
 
   /** Creates callers of the entry at a base URL; each job has `size` tasks of `taskMs` milliseconds. */
-  static to(baseUrl: string, size: number, taskMs: number): Load {
-    return new Load(baseUrl, size, taskMs);
+  static to(baseUrl: string, size: number, taskMs: number): JobLoad {
+    return new JobLoad(baseUrl, size, taskMs);
   }
 
   /** Submits at a constant rate of task starts per second, and resolves once the last job is answered. */
--- a/tools/measureCapacity/StandInLinks.ts
+++ b/tools/measureCapacity/StandInLinks.ts
@@ -43,7 +43,7 @@
   async removeLast(): Promise<void> {
     const { name } = this.opened.pop()!;
     this.processes.signal(name, 'SIGTERM');
-    await this.processes.ended(name);
+    await this.processes.whenExited(name);
   }
 
   /** The latest reports of all processes, merged. */
@@ -62,7 +62,7 @@
       });
     }
     throw new Error(
-      `stand-in links did not reach the expected state within ${TIMEOUT_MS} ms: ${JSON.stringify(this.report())}`,
+      `stand-in links did not reach the expected state within 30 s: ${JSON.stringify(this.report())}`,
     );
   }
 }
--- a/tools/measureCapacity/measureEntryLimit.ts
+++ b/tools/measureCapacity/measureEntryLimit.ts
@@ -43,9 +43,9 @@
   round: number,
   { size, maxRate, cpu, perTask }: (typeof cases)[number],
 ): Promise<number> {
-  const load = entryLoad.callers(size);
+  const load = entryLoad.createLoad(size);
   await load.atRate(WARM_UP.rate, WARM_UP.seconds);
-  const cost = await entryLoad.costOf(() =>
+  const cost = await entryLoad.measureCost(() =>
     load.saturate(TASKS_IN_FLIGHT / size, SATURATION_SECONDS),
   );
   await load.close();
@@ -61,7 +61,7 @@
   recordedBefore: number,
 ): Promise<void> {
   const size = JOB_SIZES.at(-1)!;
-  const load = entryLoad.callers(size);
+  const load = entryLoad.createLoad(size);
   for (let repetition = 0; repetition < MEMORY_REPETITIONS; repetition += 1) {
     memory.add(round, entryLoad.memoryMb, (recordedBefore + load.tasks) / 1000);
     await load.saturate(TASKS_IN_FLIGHT / size, SATURATION_SECONDS);
--- a/tools/measureCapacity/measureSidecarLinks.ts
+++ b/tools/measureCapacity/measureSidecarLinks.ts
@@ -1,5 +1,5 @@
 import Cluster from '../harness/Cluster';
-import Load from './Load';
+import JobLoad from './JobLoad';
 import manifestOf from './manifestOf';
 import pause from './pause';
 import putManifest from './putManifest';
@@ -117,7 +117,7 @@
 
   /** Runs a task for every team, so that the entry has a load to report for each, and measures idle links again. */
   private async measureBusy(): Promise<void> {
-    const load = Load.to(this.cluster.callersOf('entry-1'), 1, 0);
+    const load = JobLoad.to(this.cluster.callersOf('entry-1'), 1, 0);
     const teams = Array.from({ length: TEAM_COUNTS[1] }, (_, at) => `team-${at + 1}`);
     await Promise.all(teams.map((team) => load.submit(team)));
     await load.close();
--- a/tools/measureCapacity/measureSidecarTasks.ts
+++ b/tools/measureCapacity/measureSidecarTasks.ts
@@ -1,5 +1,5 @@
 import Cluster from '../harness/Cluster';
-import Load from './Load';
+import JobLoad from './JobLoad';
 import manifestOf from './manifestOf';
 import pause from './pause';
 import sampleProcess from './sampleProcess';
@@ -22,7 +22,7 @@
 export default async function measureSidecarTasks(round: number): Promise<void> {
   const size = { entries: 1, backends: 1, slots: 32, connections: 64, zones: 1 };
   const cluster = await Cluster.start(size, manifestOf(10));
-  const load = Load.to(cluster.callersOf('entry-1'), JOB_SIZE, TASK_MS);
+  const load = JobLoad.to(cluster.callersOf('entry-1'), JOB_SIZE, TASK_MS);
   try {
     await load.atRate(WARM_UP.rate, WARM_UP.seconds);
     await pause(1);
@@ -40,7 +40,7 @@
 
 async function measureRate(
   cluster: Cluster,
-  load: Load,
+  load: JobLoad,
   round: number,
   rate: number,
 ): Promise<void> {
--- a/tools/measureConfig/Applied.ts
+++ b/tools/measureConfig/AppliedChange.ts
@@ -1,5 +1,5 @@
 /** A manifest version that an operator applied. */
-export default interface Applied {
+export default interface AppliedChange {
   readonly version: number;
   /** The phase of the measurement in which it was applied. */
   readonly phase: string;
--- a/tools/measureConfig/Bench.ts
+++ b/tools/measureConfig/Bench.ts
@@ -1,16 +1,16 @@
 import { request } from 'undici';
 import type Cluster from '../harness/Cluster';
-import type Applied from './Applied';
-import type InForceLog from './InForceLog';
+import type AppliedChange from './AppliedChange';
+import type ConfigurationLog from './ConfigurationLog';
 import type Operator from './Operator';
 
 /** Context shared by the phases of a measurement: the cluster, its operators and the changes applied so far. */
 export default class Bench {
-  readonly applied: Applied[] = [];
+  readonly applied: AppliedChange[] = [];
 
   private constructor(
     readonly cluster: Cluster,
-    readonly log: InForceLog,
+    readonly log: ConfigurationLog,
     readonly operators: readonly Operator[],
     readonly sidecars: readonly string[],
   ) {}
@@ -18,7 +18,7 @@
   /** Creates a bench without applied changes. */
   static of(
     cluster: Cluster,
-    log: InForceLog,
+    log: ConfigurationLog,
     operators: readonly Operator[],
     sidecars: readonly string[],
   ): Bench {
--- a/tools/measureConfig/InForceLog.ts
+++ b/tools/measureConfig/ConfigurationLog.ts
@@ -6,7 +6,7 @@
 }
 
 /** Records, from the logs, when a configuration version took effect at each process, across its restarts. */
-export default class InForceLog implements ProcessWatch {
+export default class ConfigurationLog implements ProcessWatch {
   /** Descriptions of changes from a newer to an older version. */
   readonly reversions: string[] = [];
 
@@ -21,8 +21,8 @@
   private constructor() {}
 
   /** Creates an empty log. */
-  static create(): InForceLog {
-    return new InForceLog();
+  static create(): ConfigurationLog {
+    return new ConfigurationLog();
   }
 
   /** Names of the processes at which any configuration has taken effect. */
@@ -43,12 +43,12 @@
   };
 
   /** Records that a process is stopped or paused now. */
-  leave(name: string): void {
+  recordAbsence(name: string): void {
     this.absences.set(name, [...(this.absences.get(name) ?? []), Date.now()]);
   }
 
   /** Records that a process is started or resumed now. */
-  comeBack(name: string): void {
+  recordReturn(name: string): void {
     this.returns.set(name, [...(this.returns.get(name) ?? []), Date.now()]);
   }
 
--- a/tools/measureConfig/Operator.ts
+++ b/tools/measureConfig/Operator.ts
@@ -1,7 +1,7 @@
 import createContext from '../../src/ctl/createContext';
 import ManifestStore from '../../src/ctl/ManifestStore';
 import pause from '../measureCapacity/pause';
-import type Applied from './Applied';
+import type AppliedChange from './AppliedChange';
 
 /** An operator whose pipeline changes the manifest in the same way as magnoliakeelctl. */
 export default class Operator {
@@ -29,7 +29,7 @@
   }
 
   /** Changes the manifest, and retries until that succeeds. */
-  async apply(phase: string): Promise<Applied> {
+  async apply(phase: string): Promise<AppliedChange> {
     this.changes += 1;
     for (;;) {
       const startedAt = Date.now();
--- a/tools/measureConfig/measureSize.ts
+++ b/tools/measureConfig/measureSize.ts
@@ -2,7 +2,7 @@
 import pause from '../measureCapacity/pause';
 import Bench from './Bench';
 import callsBetween from './callsBetween';
-import InForceLog from './InForceLog';
+import ConfigurationLog from './ConfigurationLog';
 import Operator from './Operator';
 import phases from './phases';
 import type SizeResult from './SizeResult';
@@ -11,7 +11,7 @@
 /** Runs all phases on real processes, of which a tenth, but at least three, are entries. */
 export default async function measureSize(processes: number): Promise<SizeResult> {
   const entries = Math.max(3, Math.round(processes / 10));
-  const log = InForceLog.create();
+  const log = ConfigurationLog.create();
   const size = { entries, backends: 0, slots: 1, connections: 1, zones: 3 };
   const cluster = await Cluster.start(size, MANIFEST, { watch: log });
   try {
@@ -64,7 +64,11 @@
 }
 
 /** Resolves when the version is in effect at every process, or after 30 s. */
-async function whenSettled(log: InForceLog, processes: number, version: number): Promise<void> {
+async function whenSettled(
+  log: ConfigurationLog,
+  processes: number,
+  version: number,
+): Promise<void> {
   const deadline = Date.now() + SETTLE_TIMEOUT_MS;
   const isSettled = () =>
     log.names.filter((name) => log.newestAt(name) >= version).length >= processes;
--- a/tools/measureConfig/phases.ts
+++ b/tools/measureConfig/phases.ts
@@ -33,11 +33,11 @@
     const { cluster, log } = bench;
     const names = [cluster.entryNames.at(-1)!, ...bench.sidecars.slice(0, 2)];
     for (const name of names) {
-      log.leave(name);
+      log.recordAbsence(name);
       cluster.processes.signal(name, 'SIGKILL');
-      await cluster.processes.ended(name);
+      await cluster.processes.whenExited(name);
       await bench.apply(phase, 2);
-      log.comeBack(name);
+      log.recordReturn(name);
       const isEntry = cluster.entryNames.includes(name);
       await (isEntry ? cluster.startEntry(name) : cluster.startSidecar(name));
       await bench.apply(phase, 1);
@@ -47,13 +47,13 @@
     const { cluster, log } = bench;
     const names = [cluster.entryNames[1]!, ...bench.sidecars.slice(2, 4)];
     names.forEach((name) => {
-      log.leave(name);
+      log.recordAbsence(name);
       cluster.processes.signal(name, 'SIGSTOP');
     });
     await bench.apply(phase, 3);
     await pause(2);
     names.forEach((name) => {
-      log.comeBack(name);
+      log.recordReturn(name);
       cluster.processes.signal(name, 'SIGCONT');
     });
   },
--- a/tools/measureConfig/summarizePhase.ts
+++ b/tools/measureConfig/summarizePhase.ts
@@ -1,12 +1,12 @@
-import type Applied from './Applied';
-import type InForceLog from './InForceLog';
+import type AppliedChange from './AppliedChange';
+import type ConfigurationLog from './ConfigurationLog';
 import type PhaseResult from './PhaseResult';
 
 /** Summarizes the delays of a phase's changes over all processes. */
 export default function summarizePhase(
   phase: string,
-  applied: readonly Applied[],
-  log: InForceLog,
+  applied: readonly AppliedChange[],
+  log: ConfigurationLog,
 ): PhaseResult {
   const changes = applied.filter((each) => each.phase === phase);
   const delays = changes.flatMap(({ version, startedAt }) =>
