--- a/tools/backend/Announcer.ts
+++ b/tools/backend/Announcer.ts
@@ -5,7 +5,7 @@
 
 const RETRY_MS = 500;
 
-/** Announces a backend server to its sidecar and renews that until it leaves. */
+/** Announces a backend server to its sidecar and renews the announcement until it is withdrawn. */
 export default class Announcer {
   private readonly stopped = new AbortController();
 
@@ -17,17 +17,17 @@
     private readonly backend: Announcement,
   ) {}
 
-  /** Creates an announcer for the sidecar at "ip:port". */
+  /** Creates an announcer to the sidecar at the address "ip:port". */
   static create(timer: TimerService, sidecar: string, backend: Announcement): Announcer {
     return new Announcer(timer, sidecar, backend);
   }
 
-  /** Announces and renews until `leave`; tries again while the sidecar cannot be reached. */
+  /** Announces and renews until `leave`; retries while the sidecar cannot be reached. */
   start(): void {
     this.renewals = this.renew();
   }
 
-  /** Tells the sidecar that no further tasks are wanted. */
+  /** Withdraws the announcement, so that the sidecar sends no further tasks. */
   async leave(): Promise<void> {
     this.stopped.abort();
     await this.renewals;
--- a/tools/backend/BackendStandIn.ts
+++ b/tools/backend/BackendStandIn.ts
@@ -15,8 +15,8 @@
 type Handler = (req: IncomingMessage, res: ServerResponse) => Promise<void> | void;
 
 /**
- * Stands in for a backend server: takes tasks that say how long they run, and
- * keeps a list of every start, so that a second start of a task shows.
+ * Stands in for a backend server: accepts tasks whose input gives their run time, and
+ * counts the starts of each task, so that repeated starts are visible.
  */
 export default class BackendStandIn {
   private readonly server: Server;
@@ -27,14 +27,14 @@
     ...{ running: 0, started: 0, completed: 0, failed: 0, overrun: 0, aborted: 0, peak: 0 },
   };
 
-  private readonly drained = new Set<() => void>();
+  private readonly drainWaiters = new Set<() => void>();
 
   private faults: StandInFaults = {
     ...{ failAll: false, slowFactor: 1, hang: false, closeMidway: false, delayMs: 0 },
   };
 
   private readonly handlers: Readonly<Record<string, Handler>> = {
-    'POST /tasks': (req, res) => this.task(req, res),
+    'POST /tasks': (req, res) => this.handleTask(req, res),
     'GET /starts': (_req, res) => answer(res, 200, Object.fromEntries(this.starts)),
     'GET /counts': (_req, res) => answer(res, 200, this.counts),
     'PUT /faults': (req, res) => this.putFaults(req, res),
@@ -50,12 +50,12 @@
     });
   }
 
-  /** Creates a stand-in with a number of slots, and where it reports each start if anywhere. */
+  /** Creates a stand-in with a number of slots, and optionally a recorder to which it reports each start. */
   static create(timer: TimerService, slots: number, recorder?: StartRecorder): BackendStandIn {
     return new BackendStandIn(timer, slots, recorder);
   }
 
-  /** Listens and returns the address in use. */
+  /** Listens and returns the address, "ip:port"; port 0 picks a free port. */
   async listen(host: string, port: number): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -64,15 +64,15 @@
     return `${host}:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Resolves when no task is running. */
+  /** Resolves once no task is running. */
   drain(): Promise<void> {
     if (this.counts.running === 0) return Promise.resolve();
     return new Promise((resolve) => {
-      this.drained.add(resolve);
+      this.drainWaiters.add(resolve);
     });
   }
 
-  /** Stops listening and ends all connections. */
+  /** Stops listening and closes all connections. */
   async close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -93,7 +93,7 @@
     answer(res, 200, this.faults);
   }
 
-  private async task(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  private async handleTask(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const input = (await json(req)) as TaskInput;
     if (this.counts.running >= this.slots) {
       this.counts.overrun += 1;
@@ -101,12 +101,12 @@
       return;
     }
     const task = String(req.headers['x-task']);
-    this.begin(task);
+    this.countStart(task);
     const closed = new AbortController();
     res.once('close', () => closed.abort());
     await this.recorder?.record(task, input.output);
     await this.run(input, res, closed.signal);
-    this.end();
+    this.countEnd();
   }
 
   private async run(input: TaskInput, res: ServerResponse, closed: AbortSignal): Promise<void> {
@@ -135,18 +135,18 @@
     });
   }
 
-  private begin(task: string): void {
+  private countStart(task: string): void {
     this.starts.set(task, (this.starts.get(task) ?? 0) + 1);
     this.counts.started += 1;
     this.counts.running += 1;
     this.counts.peak = Math.max(this.counts.peak, this.counts.running);
   }
 
-  private end(): void {
+  private countEnd(): void {
     this.counts.running -= 1;
     if (this.counts.running > 0) return;
-    this.drained.forEach((resolve) => resolve());
-    this.drained.clear();
+    this.drainWaiters.forEach((resolve) => resolve());
+    this.drainWaiters.clear();
   }
 }
 
--- a/tools/backend/StandInCounts.ts
+++ b/tools/backend/StandInCounts.ts
@@ -1,13 +1,13 @@
-/** What the backend server stand-in has done since it started. */
+/** Task counters of the backend server stand-in since its start. */
 export default interface StandInCounts {
   running: number;
   started: number;
   completed: number;
   failed: number;
-  /** Tasks refused because all slots were taken. */
+  /** Tasks refused because all slots were in use. */
   overrun: number;
-  /** Tasks whose connection was closed by the caller before their end. */
+  /** Tasks whose connection the client closed before the answer. */
   aborted: number;
-  /** Highest number of tasks running at once. */
+  /** Highest number of tasks running at the same time. */
   peak: number;
 }
--- a/tools/backend/StandInFaults.ts
+++ b/tools/backend/StandInFaults.ts
@@ -1,13 +1,13 @@
-/** Faults that the backend server stand-in can be told to show. */
+/** Faults that the backend server stand-in can simulate. */
 export default interface StandInFaults {
   /** Every task fails. */
   readonly failAll: boolean;
-  /** Every task takes this many times as long as it asks for. */
+  /** Factor by which every task runs longer than its input says. */
   readonly slowFactor: number;
   /** Tasks are started and never answered. */
   readonly hang: boolean;
-  /** The connection is closed when half of the task's time has passed. */
+  /** The connection is closed after half of the task's run time. */
   readonly closeMidway: boolean;
-  /** Milliseconds before each task begins. */
+  /** Additional delay of each task, in milliseconds. */
   readonly delayMs: number;
 }
--- a/tools/backend/StartRecorder.ts
+++ b/tools/backend/StartRecorder.ts
@@ -1,8 +1,8 @@
 import { request } from 'undici';
 
 /**
- * Reports each start to a process that outlives this backend server. The task
- * begins only once the report was taken, so a start never goes unnoticed.
+ * Reports each start to a process that outlives this backend server. A task
+ * runs only after its report has been accepted, so no start is missed.
  */
 export default class StartRecorder {
   private constructor(
@@ -10,12 +10,12 @@
     private readonly backend: string,
   ) {}
 
-  /** Creates a recorder for one backend server that reports to "ip:port". */
+  /** Creates a recorder for a named backend server that reports to the address "ip:port". */
   static to(address: string, backend: string): StartRecorder {
     return new StartRecorder(address, backend);
   }
 
-  /** Reports the start of a task, with the output that it will give. */
+  /** Reports the start of a task, together with its future output. */
   async record(task: string, output: unknown): Promise<void> {
     const { body } = await request(`http://${this.address}/starts`, {
       method: 'POST',
--- a/tools/backend/main.ts
+++ b/tools/backend/main.ts
@@ -48,14 +48,14 @@
       ? undefined
       : Announcer.create(timer, flags.sidecar, { service, address, slots, connections });
   announcer?.start();
-  await terminated();
+  await whenTerminated();
   await announcer?.leave();
   await Promise.race([server.drain(), timer.sleep(flags.drain)]);
   await server.close();
   process.exit(0);
 }
 
-function terminated(): Promise<void> {
+function whenTerminated(): Promise<void> {
   return new Promise((resolve) => {
     process.once('SIGTERM', () => resolve());
     process.once('SIGINT', () => resolve());
--- a/tools/demo/DemoAnswer.ts
+++ b/tools/demo/DemoAnswer.ts
@@ -1,4 +1,4 @@
-/** An answer to the demo's job. */
+/** The body of an answer to the demo's job. */
 export default interface DemoAnswer {
   readonly outcome: string;
   readonly reason?: string;
--- a/tools/demo/demoManifest.ts
+++ b/tools/demo/demoManifest.ts
@@ -1,4 +1,4 @@
-/** The manifest of the demo: one service, two teams. */
+/** The manifest of the demo, with one service and two teams. */
 const demoManifest = {
   services: [
     {
--- a/tools/demo/main.ts
+++ b/tools/demo/main.ts
@@ -8,7 +8,7 @@
 const TASK_MS = 50;
 const SERVICE = 'booking';
 const JOB = 'demo-job';
-const created = String(Date.now());
+const createdMs = String(Date.now());
 
 const problems: string[] = [];
 try {
@@ -42,7 +42,7 @@
   const again = await submit(cluster, second!);
   print(`same job, submitted again to ${second}`, summary(again));
   checkAnswer(answer, again);
-  await checkPlaces(cluster, owner);
+  await checkPlacement(cluster, owner);
   await checkStarts(cluster);
 }
 
@@ -51,13 +51,13 @@
   check(outcome === 'completed', `the outcome is ${outcome}: ${reason}`);
   check(results.length === TASKS, `${results.length} results of ${TASKS}`);
   const isInOrder = results.every(
-    ({ index, output }, at) => index === at && output.output.n === at,
+    ({ index, output }, position) => index === position && output.output.n === position,
   );
   check(isInOrder, 'a result stands at a wrong place');
   check(JSON.stringify(answer) === JSON.stringify(again), 'the second answer is another');
 }
 
-async function checkPlaces(cluster: Cluster, owner: string): Promise<void> {
+async function checkPlacement(cluster: Cluster, owner: string): Promise<void> {
   const { holders } = await inspect(cluster);
   check(holders.map(({ entry }) => entry).join() === owner, 'another entry than the owner has it');
   const tasks = holders.flatMap((holder) => holder.tasks);
@@ -73,13 +73,16 @@
 async function checkStarts(cluster: Cluster): Promise<void> {
   const starts = await cluster.starts();
   const counts = [...starts.values()];
-  const most = Math.max(...counts);
-  print('starts per task', `${starts.size} tasks, ${Math.min(...counts)} to ${most} starts each`);
+  const maxStarts = Math.max(...counts);
+  print(
+    'starts per task',
+    `${starts.size} tasks, ${Math.min(...counts)} to ${maxStarts} starts each`,
+  );
   check(starts.size === TASKS, `${starts.size} tasks were started`);
-  check(most === 1, 'a task was started twice');
+  check(maxStarts === 1, 'a task was started twice');
 }
 
-/** What the entries tell operators of the job. */
+/** Reads the report on the job that the first entry serves to operators. */
 async function inspect(cluster: Cluster): Promise<JobReport> {
   const operators = cluster.operatorsOf(cluster.entryNames[0]!);
   const { body } = await request(`http://${operators}/v1/jobs/${SERVICE}/${JOB}`);
@@ -93,21 +96,21 @@
   const url = `${cluster.callersOf(entry)}/v1/services/${SERVICE}/jobs/${JOB}?wait=8000`;
   const { body } = await request(url, {
     method: 'PUT',
-    headers: { 'magnoliakeel-created': created },
+    headers: { 'magnoliakeel-created': createdMs },
     body: JSON.stringify({ tasks }),
   });
   return (await body.json()) as DemoAnswer;
 }
 
 function summary({ outcome, results = [] }: DemoAnswer): string {
-  const ran = results.reduce((sum, { runMs }) => sum + runMs, 0);
-  return `${outcome}, ${results.length} results in order, ${ran} ms of task time`;
+  const totalRunMs = results.reduce((sum, { runMs }) => sum + runMs, 0);
+  return `${outcome}, ${results.length} results in order, ${totalRunMs} ms of task time`;
 }
 
-function check(holds: boolean, problem: string): void {
-  if (!holds) problems.push(problem);
+function check(isMet: boolean, problem: string): void {
+  if (!isMet) problems.push(problem);
 }
 
-function print(what: string, value: string): void {
-  process.stdout.write(`${what}: ${value}\n`);
+function print(label: string, value: string): void {
+  process.stdout.write(`${label}: ${value}\n`);
 }
--- a/tools/local/main.ts
+++ b/tools/local/main.ts
@@ -1,12 +1,12 @@
 import demoManifest from '../demo/demoManifest';
 import Cluster from '../harness/Cluster';
 
-// A whole system on this machine, left running until Ctrl-C, for trying things by hand.
+// Runs a whole system on this machine until Ctrl-C, for manual experiments.
 const cluster = await Cluster.start(
   { entries: 3, backends: 4, slots: 8, connections: 64, zones: 3 },
   demoManifest,
 );
-const stopped = new Promise<void>((resolve) => {
+const interrupted = new Promise<void>((resolve) => {
   process.once('SIGINT', resolve);
   process.once('SIGTERM', resolve);
 });
@@ -25,7 +25,7 @@
 print(`A first job:\n${firstJob()}`);
 print('');
 print('Running. Ctrl-C stops all of it.');
-await stopped;
+await interrupted;
 await cluster.stop();
 process.exit(0);
 
--- a/tools/measuredDaemon/main.ts
+++ b/tools/measuredDaemon/main.ts
@@ -3,7 +3,7 @@
 import runDaemon from '../../src/daemon/runDaemon';
 import MessageCounts from '../../src/link/MessageCounts';
 
-// The daemon as it ships, which also prints its counts on SIGUSR2: "counts <number> <json>".
+// Runs the unmodified daemon, and also prints its counters on SIGUSR2: "counts <number> <json>".
 const stop = new AbortController();
 ['SIGTERM', 'SIGINT'].forEach((signal) => process.once(signal, () => stop.abort()));
 let printed = 0;
--- a/tools/pages/main.ts
+++ b/tools/pages/main.ts
@@ -3,7 +3,7 @@
 
 const FOLDER = 'docs/operators';
 
-// Runs every command of the operators' pages as written, or of the pages named.
+// Runs all commands of the operators' pages, or only of the pages given as arguments.
 const named = process.argv.slice(2);
 const all = (await readdir(FOLDER)).filter((name) => name.endsWith('.md')).sort();
 const failed: string[] = [];
