--- a/tools/measureMembership/SimulatedEntry.ts
+++ b/tools/measureMembership/SimulatedEntry.ts
@@ -11,16 +11,16 @@
 import StoreWatch from '../../src/membership/StoreWatch';
 import type ManualTimer from '../../test/support/ManualTimer';
 import type Engine from '../platform/Engine';
-import type policies from './policies';
+import type removalPolicies from './removalPolicies';
 
-/** One run of an entry's membership; pauses and death are set from outside. */
+/** One incarnation of an entry's membership; the simulation controls its pauses and its death. */
 export default class SimulatedEntry {
-  /** Silent until this time: paused. */
+  /** Simulated time until which the entry is paused, in milliseconds. */
   pausedUntil = 0;
 
   dead = false;
 
-  /** Why the membership has ended, once it has. */
+  /** Why the membership has ended; undefined while it hasn't. */
   ended: 'stopped' | 'removed' | undefined;
 
   readonly views = Versioned.of<View>(create(ViewSchema), ({ number }) => number);
@@ -33,14 +33,14 @@
     readonly region: number,
   ) {}
 
-  /** Starts an entry that joins and stays as the policy says. */
+  /** Starts an entry that joins and maintains its membership under the policy. */
   static start(
     names: { readonly instance: string; readonly incarnation: string; readonly region: number },
     parts: {
       readonly timer: ManualTimer;
       readonly engine: Engine;
       readonly random: Random;
-      readonly policy: (typeof policies)[number];
+      readonly policy: (typeof removalPolicies)[number];
       readonly leaseMs: number;
       readonly isSilent: (from: SimulatedEntry, incarnation: string) => boolean;
     },
@@ -68,13 +68,13 @@
     return entry;
   }
 
-  /** Ends the entry without a farewell. */
+  /** Ends the entry abruptly. */
   kill(): void {
     this.dead = true;
     this.stop.abort();
   }
 
-  /** Whether it can work at a time. */
+  /** Whether the entry can work at the given time. */
   isUp(now: number): boolean {
     return !this.dead && this.ended === undefined && now >= this.pausedUntil;
   }
--- a/tools/measureMembership/Simulation.ts
+++ b/tools/measureMembership/Simulation.ts
@@ -2,27 +2,27 @@
 import type { View } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import ManualTimer from '../../test/support/ManualTimer';
 import Engine from '../platform/Engine';
-import type MembershipFigures from './MembershipFigures';
-import type policies from './policies';
+import type MembershipCosts from './MembershipCosts';
+import type removalPolicies from './removalPolicies';
 import SimulatedEntry from './SimulatedEntry';
 
 const ENTRIES = 6;
 const LEASE_MS = 5000;
 const SUSPECT_MS = 3000;
 const STEP_MS = 500;
-const RESTART_MS = 3000;
-const REPLACE_MS = 30_000;
+const RESTART_DELAY_MS = 3000;
+const REPLACEMENT_DELAY_MS = 30_000;
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
-const LENGTH_MS = 20 * MINUTE_MS;
+const DURATION_MS = 20 * MINUTE_MS;
 const PAUSES_PER_HOUR = 60;
 const MEAN_PAUSE_MS = 1500;
 const DEATHS_PER_HOUR = 3;
 
 /**
- * Twenty minutes of simulated time for a few entries: short pauses, some
- * deaths, the two halves of the entries apart for two minutes, and the store
- * down for two minutes. The memberships are the real code.
+ * Simulates twenty minutes of a few entries with short pauses, some deaths, a
+ * network partition into two halves for two minutes, and a store outage of two
+ * minutes. The memberships run the real code.
  */
 export default class Simulation {
   private readonly timer = ManualTimer.create();
@@ -33,49 +33,49 @@
 
   private entries: SimulatedEntry[] = [];
 
-  /** When an entry last heard from another, by both names. */
-  private readonly heard = new Map<string, number>();
+  /** When an entry last received a message from another, by both incarnations. */
+  private readonly lastReceivedAt = new Map<string, number>();
 
   private readonly unavailableSince = new Map<string, number>();
 
-  private runs = 0;
+  private incarnationCount = 0;
 
-  private readonly figures: MembershipFigures = {
+  private readonly costs: MembershipCosts = {
     ...{ deaths: 0, pauses: 0, falseRemovals: 0 },
     ...{ unavailableMs: 0, longestMs: 0, storeCalls: 0 },
   };
 
   private constructor(
-    private readonly policy: (typeof policies)[number],
+    private readonly policy: (typeof removalPolicies)[number],
     seed: number,
   ) {
     this.random = Random.fromSeed(seed);
   }
 
-  /** Creates a run of a policy that depends on the seed alone. */
-  static of(policy: (typeof policies)[number], seed: number): Simulation {
+  /** Creates a run of a policy that is determined by the seed. */
+  static of(policy: (typeof removalPolicies)[number], seed: number): Simulation {
     return new Simulation(policy, seed);
   }
 
-  /** Runs to the end and returns what it cost. */
-  async run(): Promise<MembershipFigures> {
-    for (let at = 0; at < ENTRIES; at += 1) this.start(`entry-${at}`, at % 2);
+  /** Runs the whole simulation and returns its costs. */
+  async run(): Promise<MembershipCosts> {
+    for (let index = 0; index < ENTRIES; index += 1) this.start(`entry-${index}`, index % 2);
     await this.timer.advance(LEASE_MS);
-    while (this.timer.now() < LENGTH_MS) {
-      this.disturb();
+    while (this.timer.now() < DURATION_MS) {
+      this.disrupt();
       this.exchangeHeartbeats();
       this.replaceEnded();
       await this.timer.advance(STEP_MS);
       this.countUnavailable();
     }
     const calls = Object.values(this.engine.calls()).flatMap((counts) => Object.values(counts));
-    this.figures.storeCalls = calls.reduce((sum, count) => sum + count, 0);
-    return this.figures;
+    this.costs.storeCalls = calls.reduce((sum, count) => sum + count, 0);
+    return this.costs;
   }
 
   private start(instance: string, region: number): void {
-    this.runs += 1;
-    const names = { instance, incarnation: `${instance}.${this.runs}`, region };
+    this.incarnationCount += 1;
+    const names = { instance, incarnation: `${instance}.${this.incarnationCount}`, region };
     const { timer, engine, random, policy } = this;
     const isSilent = (from: SimulatedEntry, incarnation: string) =>
       this.isSilent(from, incarnation);
@@ -84,34 +84,34 @@
   }
 
   private isSilent(from: SimulatedEntry, incarnation: string): boolean {
-    const last = this.heard.get(pair(from.incarnation, incarnation)) ?? 0;
+    const last = this.lastReceivedAt.get(pair(from.incarnation, incarnation)) ?? 0;
     return this.timer.now() - last >= SUSPECT_MS;
   }
 
-  private disturb(): void {
+  private disrupt(): void {
     const now = this.timer.now();
     this.engine.setFaults({ down: isWithin(now, 14, 16) });
     this.alive().forEach((entry) => {
       if (entry.isUp(now) && this.happens(PAUSES_PER_HOUR)) {
         entry.pausedUntil = now - Math.log(1 - this.random.unit()) * MEAN_PAUSE_MS;
-        this.figures.pauses += 1;
+        this.costs.pauses += 1;
       }
       this.engine.setFaults({ down: !entry.isUp(now) }, entry.incarnation);
     });
     if (!this.happens(DEATHS_PER_HOUR) || this.alive().length < ENTRIES) return;
     this.alive()[this.random.below(ENTRIES)]!.kill();
-    this.figures.deaths += 1;
+    this.costs.deaths += 1;
   }
 
   private exchangeHeartbeats(): void {
     const now = this.timer.now();
-    const areApart = isWithin(now, 8, 10);
+    const isPartitioned = isWithin(now, 8, 10);
     this.alive().forEach((entry) => {
       this.alive().forEach((other) => {
-        const isReachable = !areApart || entry.region === other.region;
-        const isHeard = entry.isUp(now) && other.isUp(now) && isReachable;
+        const isReachable = !isPartitioned || entry.region === other.region;
+        const isReceived = entry.isUp(now) && other.isUp(now) && isReachable;
         const name = pair(entry.incarnation, other.incarnation);
-        if (isHeard || !this.heard.has(name)) this.heard.set(name, now);
+        if (isReceived || !this.lastReceivedAt.has(name)) this.lastReceivedAt.set(name, now);
       });
     });
   }
@@ -120,8 +120,8 @@
     const ended = this.entries.filter((entry) => entry.dead || entry.ended === 'removed');
     this.entries = this.entries.filter((entry) => !ended.includes(entry));
     ended.forEach((entry) => {
-      if (!entry.dead) this.figures.falseRemovals += 1;
-      const delayMs = entry.dead ? REPLACE_MS : RESTART_MS;
+      if (!entry.dead) this.costs.falseRemovals += 1;
+      const delayMs = entry.dead ? REPLACEMENT_DELAY_MS : RESTART_DELAY_MS;
       this.timer.after(delayMs, () => this.start(entry.instance, entry.region));
     });
   }
@@ -136,8 +136,8 @@
       }
       const since = this.unavailableSince.get(incarnation) ?? this.timer.now() - STEP_MS;
       this.unavailableSince.set(incarnation, since);
-      this.figures.unavailableMs += STEP_MS / view.members.length;
-      this.figures.longestMs = Math.max(this.figures.longestMs, this.timer.now() - since);
+      this.costs.unavailableMs += STEP_MS / view.members.length;
+      this.costs.longestMs = Math.max(this.costs.longestMs, this.timer.now() - since);
     });
   }
 
--- a/tools/measureMembership/main.ts
+++ b/tools/measureMembership/main.ts
@@ -1,23 +1,23 @@
-import policies from './policies';
+import removalPolicies from './removalPolicies';
 import Simulation from './Simulation';
 
 const SEEDS = [1, 2];
-const HEAD =
+const HEADER =
   'policy        seed deaths pauses  false removals  unavailable s  longest s  store calls\n';
 
-process.stdout.write(HEAD);
-for (const policy of policies) {
+process.stdout.write(HEADER);
+for (const policy of removalPolicies) {
   for (const seed of SEEDS) {
-    const figures = await Simulation.of(policy, seed).run();
+    const costs = await Simulation.of(policy, seed).run();
     const columns = [
       policy.name.padEnd(13),
       String(seed).padStart(4),
-      String(figures.deaths).padStart(6),
-      String(figures.pauses).padStart(6),
-      String(figures.falseRemovals).padStart(15),
-      (figures.unavailableMs / 1000).toFixed(1).padStart(14),
-      (figures.longestMs / 1000).toFixed(1).padStart(10),
-      String(figures.storeCalls).padStart(12),
+      String(costs.deaths).padStart(6),
+      String(costs.pauses).padStart(6),
+      String(costs.falseRemovals).padStart(15),
+      (costs.unavailableMs / 1000).toFixed(1).padStart(14),
+      (costs.longestMs / 1000).toFixed(1).padStart(10),
+      String(costs.storeCalls).padStart(12),
     ];
     process.stdout.write(`${columns.join(' ')}\n`);
   }
--- a/tools/measureMembership/policies.ts
+++ b/tools/measureMembership/removalPolicies.ts
@@ -1,27 +1,27 @@
 import { okAsync } from 'neverthrow';
 import type Store from '../../src/store/Store';
 
-/** One way to decide when an entry is removed from the view. */
+/** A rule for when an entry is removed from the view. */
 interface RemovalPolicy {
   readonly name: string;
-  /** The store as the membership sees it. */
+  /** Wraps the store that the membership uses. */
   readonly storeOf: (store: Store) => Store;
-  /** Whether the membership is told the lease keys that are present, or none. */
+  /** Whether the membership is notified of the lease keys present in the store; otherwise it is told that there are none. */
   readonly seesLeases: boolean;
-  /** Whether silence is asked for before a removal. */
+  /** Whether an entry has to be unresponsive before it is removed. */
   readonly needsSilence: boolean;
 }
 
-/** The ways compared: two questions with two mechanisms, or one timeout for both. */
-const policies: readonly RemovalPolicy[] = [
+/** The policies compared: two conditions with separate mechanisms (lease and silence), or one timeout for both. */
+const removalPolicies: readonly RemovalPolicy[] = [
   { name: 'split', storeOf: (store) => store, seesLeases: true, needsSilence: true },
   { name: 'silence only', storeOf: withoutLeases, seesLeases: false, needsSilence: true },
   { name: 'lease only', storeOf: (store) => store, seesLeases: true, needsSilence: false },
 ];
 
-export default policies;
+export default removalPolicies;
 
-/** A store that denies every lease key, so that silence alone decides. */
+/** A store that hides the lease keys, so that silence alone decides. */
 function withoutLeases(store: Store): Store {
   return {
     get: (key) => (key.startsWith('entries/') ? okAsync(undefined) : store.get(key)),
--- a/tools/measureTracing/Loop.ts
+++ b/tools/measureTracing/TracingBenchmark.ts
@@ -28,19 +28,19 @@
 import SpanBuffer from '../../src/observe/SpanBuffer';
 import Tracer from '../../src/observe/Tracer';
 import TaskTrace from '../../src/sidecar/TaskTrace';
-import type Variant from './Variant';
+import type TracingVariant from './TracingVariant';
 
 const INPUT = new Uint8Array(64);
 const BACKEND = { service: 'booking', address: '127.0.0.1:1', slots: 8, connections: 8 };
-/** Tasks between two turns of the event loop; their spans fit into one batch. */
-const TURN = 32;
+/** Number of tasks after which the event loop gets a turn; their spans fit into one batch. */
+const TASKS_PER_TURN = 32;
 
 /**
- * One request of one task after the other through the real dispatcher, with a
- * sidecar that answers at once. Sockets, jobs and the backend server are left
- * out, so that the difference between two variants is what they add.
+ * Sends requests of one task each, one after the other, through the real dispatcher,
+ * with a sidecar that answers immediately. Sockets, jobs and the backend server are left
+ * out, so that the difference between two variants is the cost of metrics and traces.
  */
-export default class Loop {
+export default class TracingBenchmark {
   private readonly timer = SystemTimer.create();
 
   private readonly metrics = Metrics.create(this.timer, 'entry');
@@ -60,7 +60,7 @@
 
   private starts: Start[] = [];
 
-  private constructor(private readonly variant: Variant) {
+  private constructor(private readonly variant: TracingVariant) {
     const { timer, buffer } = this;
     const { sample } = variant;
     const random = Random.fromSeed(1);
@@ -78,15 +78,15 @@
     this.dispatcher.handleGrant(this.peer, create(GrantSchema, { service: 'booking', credits }));
   }
 
-  /** Runs a number of tasks and returns the processor time for each, in microseconds. */
-  static async run(variant: Variant, tasks: number): Promise<number> {
-    const loop = new Loop(variant);
+  /** Runs a number of tasks and returns the CPU time per task, in microseconds. */
+  static async run(variant: TracingVariant, tasks: number): Promise<number> {
+    const benchmark = new TracingBenchmark(variant);
     const before = process.cpuUsage();
     for (let index = 0; index < tasks; index += 1) {
-      await loop.request(index);
-      if (index % TURN === 0) await nextTurn();
+      await benchmark.request(index);
+      if (index % TASKS_PER_TURN === 0) await nextTurn();
     }
-    await loop.buffer.close();
+    await benchmark.buffer.close();
     const { user, system } = process.cpuUsage(before);
     return (user + system) / tasks;
   }
