--- a/tools/chaos/RollingReplacement.ts
+++ b/tools/chaos/RollingReplacement.ts
@@ -3,7 +3,7 @@
 import type Journal from './Journal';
 import type Supervisor from './Supervisor';
 
-const POLL_MS = 500;
+const PAUSE_MS = 500;
 const RESTART_TIMEOUT_MS = 45_000;
 
 /** The graceful shutdown of a process, in monotonic milliseconds. */
@@ -74,8 +74,8 @@
     this.shutdowns.push({ name, signalledAt, endedAt: performance.now() });
     const deadline = signalledAt + RESTART_TIMEOUT_MS;
     while (!this.supervisor.undisrupted(name).includes(name) && performance.now() < deadline) {
-      await this.timer.sleep(POLL_MS);
+      await this.timer.sleep(PAUSE_MS);
     }
-    await this.timer.sleep(POLL_MS);
+    await this.timer.sleep(PAUSE_MS);
   }
 }
--- a/tools/chaos/checkJournal.ts
+++ b/tools/chaos/checkJournal.ts
@@ -69,8 +69,8 @@
 
 /**
  * False "not run" answers: a task started before the attempt was sent, or during
- * it without a concurrent attempt, or a task started after every attempt had been
- * answered "not run".
+ * it without a concurrent attempt, or a task started after every earlier attempt had
+ * been answered "not run".
  */
 function falseNotRuns(work: WorkItem, starts: readonly ReportedStart[]): string[] {
   const submitted = work.attempts.filter(({ action }) => action === 'submit');
@@ -118,11 +118,11 @@
   const isCancelled = work.attempts.some(({ action }) => action === 'cancel');
   return work.attempts
     .filter(({ action }) => action === 'submit')
-    .filter(({ outcome }) => !EXPECTED.has(outcome) && !(isCancelled && outcome === 'cancelled'))
+    .filter(({ outcome }) => !EXPECTED_OUTCOMES.has(outcome) && !(isCancelled && outcome === 'cancelled'))
     .map(({ entry, outcome, reason }) => `${describe(work)}: ${entry} ${outcome} ${reason}`);
 }
 
-const EXPECTED = new Set([
+const EXPECTED_OUTCOMES = new Set([
   ...['completed', 'pending', 'not-run', 'unknown'],
   ...['refused', 'broken', 'overdue'],
 ]);
