--- a/test/chaos/checkJournal.test.ts
+++ b/test/chaos/checkJournal.test.ts
@@ -25,10 +25,10 @@
   starts: ReportedStart[],
   changes: Partial<WorkItem> = {},
 ): string[] {
-  const final = attempts.at(-1)?.outcome;
+  const finalOutcome = attempts.at(-1)?.outcome;
   const work: WorkItem = {
-    ...{ id: 'a', kind: 'job', keyed: true, idempotent: false, taskMs: [1], madeAt: 0 },
-    ...{ attempts, final, finalAt: 9, ...changes },
+    ...{ id: 'a', kind: 'job', keyed: true, idempotent: false, taskMs: [1], createdAt: 0 },
+    ...{ attempts, finalOutcome, finalAt: 9, ...changes },
   };
   const { broken: violations } = checkJournal({
     workItems: [work],
@@ -59,7 +59,7 @@
     ['lost'],
     [attempt(0, 5, 'pending')],
     [start(1)],
-    { final: undefined },
+    { finalOutcome: undefined },
   ],
   ['reports "not run" after a start', ['falseNotRun'], [attempt(0, 5, 'not-run')], [start(1)]],
   [
--- a/tools/chaos/ChaosCaller.ts
+++ b/tools/chaos/ChaosCaller.ts
@@ -55,20 +55,20 @@
     const cancellation = isCancelled ? this.cancel(work) : Promise.resolve();
     const duplicates = mayDuplicate ? [this.submit(work), this.submit(work)] : [];
     let unknowns = 0;
-    while (work.final === undefined) {
+    while (work.finalOutcome === undefined) {
       const attempt = await this.submit(work);
       const verdict = verdicts[attempt.outcome] ?? 'final';
       unknowns += attempt.outcome === 'unknown' && attempt.retryAfterMs === 0 ? 1 : 0;
       const isOver =
         verdict === 'final' || unknowns >= MAX_UNKNOWN_ANSWERS || mustStop(work, verdict);
       if (isOver) this.finish(work, attempt);
-      else await this.pause(attempt);
+      else await this.waitBeforeRetry(attempt);
     }
     await Promise.all([cancellation, ...duplicates]);
   }
 
   private finish(work: WorkItem, attempt: CallerAttempt): void {
-    work.final = attempt.outcome;
+    work.finalOutcome = attempt.outcome;
     work.finalAt = attempt.endedAt;
   }
 
@@ -93,7 +93,7 @@
     return others[this.options.random.below(others.length)]!;
   }
 
-  private async pause(attempt: CallerAttempt): Promise<void> {
+  private async waitBeforeRetry(attempt: CallerAttempt): Promise<void> {
     const { timer, random } = this.options;
     const jitter = random.jitter(RETRY_MS);
     await timer.sleep(attempt.retryAfterMs * (1 + random.unit() / 2) + jitter);
--- a/tools/chaos/Disruptor.ts
+++ b/tools/chaos/Disruptor.ts
@@ -88,7 +88,7 @@
   }
 
   /** A random delay of store calls, in milliseconds. */
-  storeDelayMs(): number {
+  randomStoreDelayMs(): number {
     return Math.round(this.options.random.unit() * MAX_STORE_DELAY_MS);
   }
 
@@ -124,7 +124,7 @@
   pause: (disruptor, prefix, stop) => disruptor.pause(prefix, stop),
   storeDown: (disruptor, _prefix, stop) => disruptor.disruptStore({ down: true }, stop),
   storeSlow: (disruptor, _prefix, stop) =>
-    disruptor.disruptStore({ slowMs: disruptor.storeDelayMs() }, stop),
+    disruptor.disruptStore({ slowMs: disruptor.randomStoreDelayMs() }, stop),
   storeAnswersLost: (disruptor, _prefix, stop) =>
     disruptor.disruptStore({ answerLost: true }, stop),
 };
--- a/tools/chaos/EntryClient.ts
+++ b/tools/chaos/EntryClient.ts
@@ -66,7 +66,7 @@
     };
     work.attempts.push(attempt);
     try {
-      const origin = this.cluster.callersOf(entry);
+      const origin = this.cluster.callersUrl(entry);
       const res = await this.agent.request({ ...req, origin });
       const text = await res.body.text();
       Object.assign(attempt, readAnswer(work, res, text));
--- a/tools/chaos/WorkItem.ts
+++ b/tools/chaos/WorkItem.ts
@@ -9,9 +9,9 @@
   readonly idempotent: boolean;
   /** Run time of each task, in milliseconds. */
   readonly taskMs: readonly number[];
-  readonly madeAt: number;
+  readonly createdAt: number;
   readonly attempts: CallerAttempt[];
   finalAt: number | undefined;
   /** The outcome that the caller treated as final; undefined while there is none. */
-  final: string | undefined;
+  finalOutcome: string | undefined;
 }
--- a/tools/chaos/checkJournal.ts
+++ b/tools/chaos/checkJournal.ts
@@ -20,7 +20,7 @@
     jobs: workItems.filter(({ kind }) => kind === 'job').length,
     requests: workItems.filter(({ kind }) => kind === 'request').length,
     attempts: attempts.length,
-    finals: countBy(workItems, ({ final }) => final ?? 'none'),
+    finals: countBy(workItems, ({ finalOutcome }) => finalOutcome ?? 'none'),
     answers: countBy(submitted, ({ outcome }) => outcome),
     doubts: countBy(
       submitted.filter(({ outcome }) => outcome === 'unknown'),
@@ -34,7 +34,9 @@
       doubled: repeatsByItem
         .filter(({ work }) => !work.idempotent)
         .flatMap(({ work, repeats }) => repeats.map((start) => describeStart(work, start))),
-      lost: workItems.filter(({ final }) => final === undefined).map((work) => describe(work)),
+      lost: workItems
+        .filter(({ finalOutcome }) => finalOutcome === undefined)
+        .map((work) => describe(work)),
       falseNotRun: workItems.flatMap((work) => falseNotRuns(work, startsOf(work))),
       wrongAnswers: workItems.flatMap((work) => wrongAnswers(work, startsOf(work))),
       unexpectedAnswers: workItems.flatMap(unexpectedAnswers),
@@ -118,7 +120,9 @@
   const isCancelled = work.attempts.some(({ action }) => action === 'cancel');
   return work.attempts
     .filter(({ action }) => action === 'submit')
-    .filter(({ outcome }) => !EXPECTED_OUTCOMES.has(outcome) && !(isCancelled && outcome === 'cancelled'))
+    .filter(
+      ({ outcome }) => !EXPECTED_OUTCOMES.has(outcome) && !(isCancelled && outcome === 'cancelled'),
+    )
     .map(({ entry, outcome, reason }) => `${describe(work)}: ${entry} ${outcome} ${reason}`);
 }
 
@@ -130,7 +134,9 @@
 function longestWait({ workItems, disruptions }: Journal) {
   const waits = disruptions.flatMap((disruption) =>
     workItems
-      .filter(({ madeAt, finalAt }) => madeAt < disruption.at && (finalAt ?? 0) > disruption.at)
+      .filter(
+        ({ createdAt, finalAt }) => createdAt < disruption.at && (finalAt ?? 0) > disruption.at,
+      )
       .map(({ finalAt }) => ({ disruption, ms: finalAt! - disruption.at })),
   );
   const longest = waits.reduce((best, wait) => (wait.ms > best.ms ? wait : best), NO_WAIT);
--- a/tools/chaos/createWorkItem.ts
+++ b/tools/chaos/createWorkItem.ts
@@ -20,10 +20,10 @@
     keyed: isJob || isKeyed,
     idempotent: !isJob && isIdempotent,
     taskMs: Array.from({ length: size }, () => MIN_TASK_MS + random.below(TASK_MS_RANGE)),
-    madeAt: performance.now(),
+    createdAt: performance.now(),
     attempts: [],
     finalAt: undefined,
-    final: undefined,
+    finalOutcome: undefined,
   };
 }
 
--- a/tools/chaos/probeSlots.ts
+++ b/tools/chaos/probeSlots.ts
@@ -24,7 +24,7 @@
     const work = createProbe(slots, attempt);
     journal.workItems.push(work);
     const answer = await client.submit(work, entries[attempt % entries.length]!);
-    work.final = answer.outcome;
+    work.finalOutcome = answer.outcome;
     work.finalAt = answer.endedAt;
     missing = slots - countConcurrentStarts(journal, work);
     if (missing > 0) await timer.sleep(RETRY_MS);
@@ -37,7 +37,7 @@
   return {
     id: `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-00000000000${attempt}`,
     ...{ kind: 'job', keyed: true, idempotent: false, taskMs: Array(slots).fill(TASK_MS) },
-    ...{ madeAt: performance.now(), attempts: [], finalAt: undefined, final: undefined },
+    ...{ createdAt: performance.now(), attempts: [], finalAt: undefined, finalOutcome: undefined },
   };
 }
 
--- a/tools/demo/main.ts
+++ b/tools/demo/main.ts
@@ -71,7 +71,7 @@
 }
 
 async function checkStarts(cluster: Cluster): Promise<void> {
-  const starts = await cluster.starts();
+  const starts = await cluster.countStarts();
   const counts = [...starts.values()];
   const maxStarts = Math.max(...counts);
   print(
@@ -84,7 +84,7 @@
 
 /** Reads the report on the job that the first entry serves to operators. */
 async function inspect(cluster: Cluster): Promise<JobReport> {
-  const operators = cluster.operatorsOf(cluster.entryNames[0]!);
+  const operators = cluster.operatorsAddress(cluster.entryNames[0]!);
   const { body } = await request(`http://${operators}/v1/jobs/${SERVICE}/${JOB}`);
   return (await body.json()) as JobReport;
 }
@@ -93,7 +93,7 @@
   const tasks = Array.from({ length: TASKS }, (_, n) => ({
     input: { ms: TASK_MS, output: { n } },
   }));
-  const url = `${cluster.callersOf(entry)}/v1/services/${SERVICE}/jobs/${JOB}?wait=8000`;
+  const url = `${cluster.callersUrl(entry)}/v1/services/${SERVICE}/jobs/${JOB}?wait=8000`;
   const { body } = await request(url, {
     method: 'PUT',
     headers: { 'magnoliakeel-created': createdMs },
--- a/tools/harness/Cluster.ts
+++ b/tools/harness/Cluster.ts
@@ -77,17 +77,17 @@
   }
 
   /** Base URL at which an entry serves callers. */
-  callersOf(entry: string): string {
+  callersUrl(entry: string): string {
     return `http://${this.callerAddresses.get(entry)}`;
   }
 
   /** Address at which an entry or a sidecar serves operators, "ip:port". */
-  operatorsOf(name: string): string {
+  operatorsAddress(name: string): string {
     return this.operatorAddresses.get(name)!;
   }
 
   /** Base URL of a backend server stand-in. */
-  backendAddress(backend: string): string {
+  backendUrl(backend: string): string {
     return `http://${this.backendAddresses.get(backend)}`;
   }
 
@@ -144,7 +144,7 @@
 
   /** Sets the faults that a backend server stand-in simulates. */
   async putFaults(backend: string, faults: Partial<StandInFaults>): Promise<void> {
-    const { body } = await request(`${this.backendAddress(backend)}/faults`, {
+    const { body } = await request(`${this.backendUrl(backend)}/faults`, {
       method: 'PUT',
       body: JSON.stringify(faults),
     });
@@ -152,11 +152,11 @@
   }
 
   /** Number of starts of each task, summed over all backend servers. */
-  async starts(): Promise<Map<string, number>> {
+  async countStarts(): Promise<Map<string, number>> {
     const totals = new Map<string, number>();
     await Promise.all(
       this.backendNames.map(async (backend) => {
-        const { body } = await request(`${this.backendAddress(backend)}/starts`);
+        const { body } = await request(`${this.backendUrl(backend)}/starts`);
         const counts = (await body.json()) as Record<string, number>;
         Object.entries(counts).forEach(([task, count]) => {
           totals.set(task, (totals.get(task) ?? 0) + count);
--- a/tools/harness/TcpProxy.ts
+++ b/tools/harness/TcpProxy.ts
@@ -101,13 +101,13 @@
       .forEach(({ near, far }) => [near, far].forEach((socket) => socket.destroy()));
   }
 
-  /** Closes connections and rejects new ones until `mend` is called with the same fault. */
+  /** Closes the connections that the fault selects, and rejects new ones until the fault ends. */
   cut(fault: ConnectionFault): void {
     this.blocks.add(fault);
     this.break(fault.from);
   }
 
-  /** Accepts connections again that `cut` rejected. */
+  /** Ends a fault that rejects connections, so that new ones are accepted again. */
   mend(fault: ConnectionFault): void {
     this.blocks.delete(fault);
   }
--- a/tools/local/main.ts
+++ b/tools/local/main.ts
@@ -15,7 +15,7 @@
 );
 print(`store      http://${cluster.platform}`);
 cluster.entryNames.sort().forEach((entry) => {
-  print(`${entry}    callers ${cluster.callersOf(entry)}  operators ${operatorsOf(entry)}`);
+  print(`${entry}    callers ${cluster.callersUrl(entry)}  operators ${operatorsOf(entry)}`);
 });
 cluster.backendNames.sort().forEach((backend) => {
   const sidecar = backend.replace('backend', 'sidecar');
@@ -30,11 +30,11 @@
 process.exit(0);
 
 function operatorsOf(name: string): string {
-  return `http://${cluster.operatorsOf(name)}`;
+  return `http://${cluster.operatorsAddress(name)}`;
 }
 
 function firstJob(): string {
-  const url = `${cluster.callersOf('entry-1')}/v1/services/booking/jobs/my-job?wait=5000`;
+  const url = `${cluster.callersUrl('entry-1')}/v1/services/booking/jobs/my-job?wait=5000`;
   return [
     `curl -X PUT '${url}' \\`,
     `  -H "Magnoliakeel-Created: $(date +%s%3N)" \\`,
--- a/tools/measure/Arrival.ts
+++ b/tools/measure/Arrival.ts
@@ -4,7 +4,7 @@
   readonly atMs: number;
   readonly kind: 'request' | 'job';
   /** Run time of each task, in milliseconds. */
-  readonly runs: readonly number[];
+  readonly taskRunMs: readonly number[];
   readonly team: string;
   /** Index of the entry that the load balancer picks. */
   readonly entry: number;
--- a/tools/measure/LoadGenerator.ts
+++ b/tools/measure/LoadGenerator.ts
@@ -37,7 +37,7 @@
   }
 
   private async request(arrival: Arrival): Promise<AnsweredArrival> {
-    const body = JSON.stringify({ ms: arrival.runs[0] });
+    const body = JSON.stringify({ ms: arrival.taskRunMs[0] });
     const headers: Record<string, string> = { 'magnoliakeel-team': arrival.team };
     if (this.deadlineMs) headers['magnoliakeel-deadline-ms'] = String(this.deadlineMs);
     const path = '/v1/services/booking/requests';
@@ -58,7 +58,7 @@
 
   private async job(arrival: Arrival): Promise<AnsweredArrival> {
     const id = randomUUID();
-    const body = JSON.stringify({ tasks: arrival.runs.map((ms) => ({ input: { ms } })) });
+    const body = JSON.stringify({ tasks: arrival.taskRunMs.map((ms) => ({ input: { ms } })) });
     const headers = {
       'magnoliakeel-team': arrival.team,
       'magnoliakeel-created': String(Date.now()),
@@ -93,7 +93,7 @@
     init: { method: 'POST' | 'PUT' | 'DELETE'; headers?: Record<string, string>; body?: string },
   ): Promise<string> {
     const names = this.cluster.entryNames;
-    const base = this.cluster.callersOf(names[entry % names.length]!);
+    const base = this.cluster.callersUrl(names[entry % names.length]!);
     const res = await request(base + path, { ...init, dispatcher: this.agent });
     await res.body.dump();
     return String(res.headers['magnoliakeel-outcome'] ?? res.statusCode);
--- a/tools/measure/Scenario.ts
+++ b/tools/measure/Scenario.ts
@@ -4,15 +4,15 @@
 
 /** A load and the fault injected during it. */
 export default interface Scenario {
-  readonly about: string;
+  readonly description: string;
   /** Deadline of single requests, in milliseconds; none by default. */
   readonly deadlineMs?: number;
   /** Slots of the ideal queue, without those of faulty backend servers; all slots by default. */
   readonly idealSlots?: number;
   /** Adds the arrivals of the given time span, in milliseconds since the start of the load. */
-  readonly load: (workload: Workload, fromMs: number, toMs: number) => unknown;
+  readonly addLoad: (workload: Workload, fromMs: number, toMs: number) => unknown;
   /** Injects a fault once, at the middle of the load. */
-  readonly fault?: (cluster: Cluster, counts: CountReader) => Promise<void>;
+  readonly injectFault?: (cluster: Cluster, counts: CountReader) => Promise<void>;
   /** Runs before the load starts. */
   readonly prepare?: (cluster: Cluster) => Promise<void>;
 }
--- a/tools/measure/StretchHistograms.ts
+++ b/tools/measure/StretchHistograms.ts
@@ -18,9 +18,9 @@
    * Adds an answer with its response time in milliseconds. The least possible time of a job is the longer of its
    * longest task and its total work divided by the slots.
    */
-  add({ kind, runs, team }: Arrival, responseMs: number, slots: number): void {
-    const sum = runs.reduce((total, run) => total + run, 0);
-    const minimumMs = Math.max(sum / slots, ...runs);
+  add({ kind, taskRunMs, team }: Arrival, responseMs: number, slots: number): void {
+    const sum = taskRunMs.reduce((total, run) => total + run, 0);
+    const minimumMs = Math.max(sum / slots, ...taskRunMs);
     const stretch = Math.max(1, Math.round((responseMs / minimumMs) * SCALE));
     if (team !== GREEDY_TEAM) this[kind].recordValue(stretch);
   }
--- a/tools/measure/Workload.ts
+++ b/tools/measure/Workload.ts
@@ -48,14 +48,19 @@
       atMs += -Math.log(1 - this.random.unit()) / (tasksPerMs * arrivalsPerTask);
       if (atMs >= toMs) return this;
       if (this.random.unit() < jobArrivalShare) this.job({ atMs, tasks: this.jobSize(), team });
-      else this.add({ atMs, kind: 'request', runs: [this.run()], team });
+      else this.add({ atMs, kind: 'request', taskRunMs: [this.run()], team });
     }
   }
 
   /** Adds one job. */
   job(init: { atMs: number; tasks: number; team?: string; cancelAfterMs?: number }): this {
     const { tasks, team = DEFAULT_TEAM, ...rest } = init;
-    this.add({ ...rest, kind: 'job', team, runs: Array.from({ length: tasks }, () => this.run()) });
+    this.add({
+      ...rest,
+      kind: 'job',
+      team,
+      taskRunMs: Array.from({ length: tasks }, () => this.run()),
+    });
     return this;
   }
 
--- a/tools/measure/HOP_MS.ts
+++ b/tools/measure/ZONE_DELAY_MS.ts
@@ -1,4 +1,4 @@
 /** One-way delay between availability zones, in milliseconds; the stand-ins simulate it. */
-const HOP_MS = 1;
+const ZONE_DELAY_MS = 1;
 
-export default HOP_MS;
+export default ZONE_DELAY_MS;
--- a/tools/measure/replayIdeal.ts
+++ b/tools/measure/replayIdeal.ts
@@ -14,7 +14,7 @@
   const stretches = StretchHistograms.create();
   arrivals.forEach((arrival) => {
     if (arrival.cancelAfterMs !== undefined) return;
-    const ends = arrival.runs.map((run) => {
+    const ends = arrival.taskRunMs.map((run) => {
       const slot = freeAt.indexOf(Math.min(...freeAt));
       freeAt[slot] = Math.max(freeAt[slot]!, arrival.atMs) + run;
       return freeAt[slot];
--- a/tools/measure/runScenario.ts
+++ b/tools/measure/runScenario.ts
@@ -4,7 +4,7 @@
 import type AnsweredArrival from './AnsweredArrival';
 import type Arrival from './Arrival';
 import CountReader from './CountReader';
-import HOP_MS from './HOP_MS';
+import ZONE_DELAY_MS from './ZONE_DELAY_MS';
 import LoadGenerator from './LoadGenerator';
 import measuredManifest from './measuredManifest';
 import replayIdeal from './replayIdeal';
@@ -40,7 +40,7 @@
     await fault;
     return {
       ...summarize(options, scenario, arrivals, answers),
-      doubled: [...(await cluster.starts()).values()].filter((starts) => starts > 1).length,
+      doubled: [...(await cluster.countStarts()).values()].filter((starts) => starts > 1).length,
       counts: await counted,
       final: await counts.totals(),
     };
@@ -58,7 +58,7 @@
   const slots = size.backends * size.slots;
   const offer = { slots, entries: size.entries, warmUpMs: WARM_UP_MS, slower };
   const workload = Workload.create(Random.fromSeed(seed), offer);
-  scenario.load(workload, 0, WARM_UP_MS + lengthMs);
+  scenario.addLoad(workload, 0, WARM_UP_MS + lengthMs);
   return workload.build();
 }
 
@@ -68,7 +68,9 @@
     program: 'measuredDaemon',
   });
   await Promise.all(
-    cluster.backendNames.map((name) => cluster.putFaults(name, { delayMs: 2 * HOP_MS * slower })),
+    cluster.backendNames.map((name) =>
+      cluster.putFaults(name, { delayMs: 2 * ZONE_DELAY_MS * slower }),
+    ),
   );
   return cluster;
 }
@@ -80,14 +82,14 @@
 }
 
 async function faultLater(
-  { fault }: Scenario,
+  { injectFault }: Scenario,
   cluster: Cluster,
   counts: CountReader,
   afterMs: number,
 ): Promise<void> {
-  if (!fault) return;
+  if (!injectFault) return;
   await sleep(afterMs);
-  await fault(cluster, counts);
+  await injectFault(cluster, counts);
 }
 
 function summarize(
@@ -111,10 +113,10 @@
     scenario: name,
     policy,
     stretches,
-    ideal: replayIdeal(arrivals, scenario.idealSlots ?? slots, HOP_MS * slower),
+    ideal: replayIdeal(arrivals, scenario.idealSlots ?? slots, ZONE_DELAY_MS * slower),
     outcomes,
-    offered: arrivals.reduce((sum, { runs }) => sum + runs.length, 0),
-    completed: completed.reduce((sum, { arrival }) => sum + arrival.runs.length, 0),
+    offered: arrivals.reduce((sum, { taskRunMs }) => sum + taskRunMs.length, 0),
+    completed: completed.reduce((sum, { arrival }) => sum + arrival.taskRunMs.length, 0),
     throughput: busyMs / (lengthMs * slots),
   };
 }
@@ -129,6 +131,6 @@
   return atMs >= WARM_UP_MS && atMs <= WARM_UP_MS + lengthMs;
 }
 
-function runMsOf({ runs }: Arrival): number {
-  return runs.reduce((sum, run) => sum + run, 0);
+function runMsOf({ taskRunMs }: Arrival): number {
+  return taskRunMs.reduce((sum, run) => sum + run, 0);
 }
--- a/tools/measureCapacity/EntryLoad.ts
+++ b/tools/measureCapacity/EntryLoad.ts
@@ -1,6 +1,6 @@
 import Cluster from '../harness/Cluster';
 import JobLoad from './JobLoad';
-import manifestOf from './manifestOf';
+import createManifest from './createManifest';
 import sampleProcess from './sampleProcess';
 import StandInLinks from './StandInLinks';
 
@@ -28,7 +28,7 @@
   /** Starts the given number of entries and opens their links. */
   static async start(entries: number): Promise<EntryLoad> {
     const size = { entries, backends: 0, slots: SLOTS, connections: 64, zones: 3 };
-    const cluster = await Cluster.start(size, manifestOf(10));
+    const cluster = await Cluster.start(size, createManifest(10));
     const { processes, entryNames } = cluster;
     const links = await Promise.all(
       entryNames.map(async (entry) => {
@@ -42,7 +42,7 @@
 
   /** Creates a load on the first entry whose jobs have `jobSize` tasks. */
   createLoad(jobSize: number): JobLoad {
-    return JobLoad.to(this.cluster.callersOf('entry-1'), jobSize, 0);
+    return JobLoad.to(this.cluster.callersUrl('entry-1'), jobSize, 0);
   }
 
   /** Resident memory of the first entry, in megabytes of 1024 * 1024 bytes. */
--- a/tools/measureCapacity/JobLoad.ts
+++ b/tools/measureCapacity/JobLoad.ts
@@ -29,7 +29,7 @@
   }
 
   /** Submits at a constant rate of task starts per second, and resolves once the last job is answered. */
-  async atRate(startsPerSecond: number, seconds: number): Promise<void> {
+  async submitAtRate(startsPerSecond: number, seconds: number): Promise<void> {
     const intervalMs = (1000 * this.size) / startsPerSecond;
     const count = Math.round((seconds * 1000) / intervalMs);
     const startedAt = performance.now();
--- a/tools/measureCapacity/StandInLinks.ts
+++ b/tools/measureCapacity/StandInLinks.ts
@@ -52,7 +52,7 @@
   }
 
   /** Waits until the merged report satisfies the condition, and returns it. Throws after 30 s. */
-  async until(condition: (report: StandInReport) => boolean): Promise<StandInReport> {
+  async waitUntil(condition: (report: StandInReport) => boolean): Promise<StandInReport> {
     const deadline = performance.now() + TIMEOUT_MS;
     while (performance.now() < deadline) {
       const report = this.report();
--- a/tools/measureCapacity/manifestOf.ts
+++ b/tools/measureCapacity/createManifest.ts
@@ -1,5 +1,5 @@
 /** A manifest with one service and the given number of teams. */
-export default function manifestOf(teams: number): object {
+export default function createManifest(teams: number): object {
   return {
     services: [
       {
--- a/tools/measureCapacity/measureEntryLimit.ts
+++ b/tools/measureCapacity/measureEntryLimit.ts
@@ -44,7 +44,7 @@
   { size, maxRate, cpu, perTask }: (typeof cases)[number],
 ): Promise<number> {
   const load = entryLoad.createLoad(size);
-  await load.atRate(WARM_UP.rate, WARM_UP.seconds);
+  await load.submitAtRate(WARM_UP.rate, WARM_UP.seconds);
   const cost = await entryLoad.measureCost(() =>
     load.saturate(TASKS_IN_FLIGHT / size, SATURATION_SECONDS),
   );
--- a/tools/measureCapacity/measureEntryTasks.ts
+++ b/tools/measureCapacity/measureEntryTasks.ts
@@ -32,9 +32,9 @@
   const entryLoad = await EntryLoad.start(each.entries);
   const load = entryLoad.createLoad(each.size);
   try {
-    await load.atRate(WARM_UP.rate, WARM_UP.seconds);
+    await load.submitAtRate(WARM_UP.rate, WARM_UP.seconds);
     for (const rate of RATES) {
-      const cost = await entryLoad.measureCost(() => load.atRate(rate, RATE_SECONDS));
+      const cost = await entryLoad.measureCost(() => load.submitAtRate(rate, RATE_SECONDS));
       const { seconds, cpuMs, tasks, bytes, messages } = cost;
       each.cpu.add(round, cpuMs / seconds, tasks / seconds);
       each.bytes.add(round, bytes / seconds, tasks / seconds);
--- a/tools/measureCapacity/measureProcesses.ts
+++ b/tools/measureCapacity/measureProcesses.ts
@@ -1,6 +1,6 @@
 import { request } from 'undici';
 import Cluster from '../harness/Cluster';
-import manifestOf from './manifestOf';
+import createManifest from './createManifest';
 import pause from './pause';
 import sampleProcess from './sampleProcess';
 import Series from './Series';
@@ -26,7 +26,7 @@
 export default async function measureProcesses(round: number): Promise<void> {
   const sidecar = { links: 1 };
   const size = { entries: 1, backends: 0, slots: 8, connections: 64, zones: 3 };
-  const cluster = await Cluster.start(size, manifestOf(10), { sidecar });
+  const cluster = await Cluster.start(size, createManifest(10), { sidecar });
   try {
     for (const entries of ENTRY_COUNTS) await measureEntries(cluster, round, entries);
     await measureSidecars(cluster, round, sidecar);
--- a/tools/measureCapacity/measureSidecarLinks.ts
+++ b/tools/measureCapacity/measureSidecarLinks.ts
@@ -1,6 +1,6 @@
 import Cluster from '../harness/Cluster';
 import JobLoad from './JobLoad';
-import manifestOf from './manifestOf';
+import createManifest from './createManifest';
 import pause from './pause';
 import putManifest from './putManifest';
 import putNextView from './putNextView';
@@ -52,7 +52,7 @@
 /** Runs one round of all numbers of links. */
 export default async function measureSidecarLinks(round: number): Promise<void> {
   const size = { entries: 1, backends: 0, slots: SLOTS, connections: 64, zones: 3 };
-  const cluster = await Cluster.start(size, manifestOf(TEAM_COUNTS[0]));
+  const cluster = await Cluster.start(size, createManifest(TEAM_COUNTS[0]));
   try {
     await new Round(cluster, round).run();
   } finally {
@@ -117,7 +117,7 @@
 
   /** Runs a task for every team, so that the entry has a load to report for each, and measures idle links again. */
   private async measureBusy(): Promise<void> {
-    const load = JobLoad.to(this.cluster.callersOf('entry-1'), 1, 0);
+    const load = JobLoad.to(this.cluster.callersUrl('entry-1'), 1, 0);
     const teams = Array.from({ length: TEAM_COUNTS[1] }, (_, at) => `team-${at + 1}`);
     await Promise.all(teams.map((team) => load.submit(team)));
     await load.close();
@@ -161,8 +161,8 @@
       this.version += 1;
       const { version } = this;
       const writtenAt = Date.now();
-      await putManifest(platform, version, manifestOf(teams));
-      const report = await this.links.until(({ configuration }) => configuration >= version);
+      await putManifest(platform, version, createManifest(teams));
+      const report = await this.links.waitUntil(({ configuration }) => configuration >= version);
       series.changeMs[at]!.add(this.round, report.configurationAt - writtenAt, this.links.count);
     });
     series.changeBytes[at]!.add(this.round, cost.bytes, this.links.count);
@@ -173,7 +173,7 @@
     const cost = await this.costOfEach(async () => {
       const writtenAt = Date.now();
       const number = await putNextView(this.cluster.platform);
-      const report = await this.links.until(({ view }) => view >= number);
+      const report = await this.links.waitUntil(({ view }) => view >= number);
       series.viewMs.add(this.round, report.viewAt - writtenAt, this.links.count);
     });
     series.viewBytes.add(this.round, cost.bytes, this.links.count);
@@ -188,7 +188,7 @@
     await pause(JOIN_SECONDS);
     const killedAt = Date.now();
     cluster.processes.signal('entry-2', 'SIGKILL');
-    const removed = await links.until(({ view }) => view > Number(joined));
+    const removed = await links.waitUntil(({ view }) => view > Number(joined));
     series.removalMs.add(this.round, removed.viewAt - killedAt);
   }
 
--- a/tools/measureCapacity/measureSidecarTasks.ts
+++ b/tools/measureCapacity/measureSidecarTasks.ts
@@ -1,6 +1,6 @@
 import Cluster from '../harness/Cluster';
 import JobLoad from './JobLoad';
-import manifestOf from './manifestOf';
+import createManifest from './createManifest';
 import pause from './pause';
 import sampleProcess from './sampleProcess';
 import Series from './Series';
@@ -21,10 +21,10 @@
 /** Runs one round: one entry, one sidecar and its backend server. */
 export default async function measureSidecarTasks(round: number): Promise<void> {
   const size = { entries: 1, backends: 1, slots: 32, connections: 64, zones: 1 };
-  const cluster = await Cluster.start(size, manifestOf(10));
-  const load = JobLoad.to(cluster.callersOf('entry-1'), JOB_SIZE, TASK_MS);
+  const cluster = await Cluster.start(size, createManifest(10));
+  const load = JobLoad.to(cluster.callersUrl('entry-1'), JOB_SIZE, TASK_MS);
   try {
-    await load.atRate(WARM_UP.rate, WARM_UP.seconds);
+    await load.submitAtRate(WARM_UP.rate, WARM_UP.seconds);
     await pause(1);
     for (const rate of RATES) await measureRate(cluster, load, round, rate);
     series.failed.add(round, load.failed);
@@ -47,7 +47,7 @@
   const pid = cluster.processes.pid('sidecar-1');
   const before = sampleProcess(pid);
   const { tasks } = load;
-  await load.atRate(rate, RATE_SECONDS);
+  await load.submitAtRate(rate, RATE_SECONDS);
   const after = sampleProcess(pid);
   const seconds = (after.at - before.at) / 1000;
   const reached = (load.tasks - tasks) / seconds;
--- a/tools/measureConfig/Bench.ts
+++ b/tools/measureConfig/Bench.ts
@@ -42,7 +42,7 @@
   }
 
   /** Number of calls to the store so far, by process and kind. */
-  async calls(): Promise<Record<string, Record<string, number>>> {
+  async storeCalls(): Promise<Record<string, Record<string, number>>> {
     const { body } = await request(`http://${this.cluster.platform}/v1/calls`);
     return (await body.json()) as Record<string, Record<string, number>>;
   }
--- a/tools/measureConfig/measureSize.ts
+++ b/tools/measureConfig/measureSize.ts
@@ -39,18 +39,18 @@
   const { cluster, log, operators, sidecars } = bench;
   const entries = cluster.entryNames;
   await pause(2);
-  const before = await bench.calls();
+  const before = await bench.storeCalls();
   await pause(QUIET_SECONDS);
-  const quiet = callsBetween(before, await bench.calls(), entries);
+  const quiet = callsBetween(before, await bench.storeCalls(), entries);
   let burst: Record<string, number> = {};
   for (const [phase, run] of Object.entries(phases)) {
-    const start = await bench.calls();
+    const start = await bench.storeCalls();
     await run(bench, phase);
     await whenSettled(log, entries.length + sidecars.length, bench.applied.at(-1)!.version);
-    if (phase.startsWith('burst')) burst = callsBetween(start, await bench.calls(), entries);
+    if (phase.startsWith('burst')) burst = callsBetween(start, await bench.storeCalls(), entries);
   }
   const applied = bench.applied.filter(({ phase }) => phase.startsWith('burst')).length;
-  const all = callsBetween({}, await bench.calls(), sidecars);
+  const all = callsBetween({}, await bench.storeCalls(), sidecars);
   return {
     entries: entries.length,
     sidecars: sidecars.length,
--- a/tools/measureMembership/SimulatedEntry.ts
+++ b/tools/measureMembership/SimulatedEntry.ts
@@ -21,7 +21,7 @@
   dead = false;
 
   /** Why the membership has ended; undefined while it hasn't. */
-  ended: 'stopped' | 'removed' | undefined;
+  endReason: 'stopped' | 'removed' | undefined;
 
   readonly views = Versioned.of<View>(create(ViewSchema), ({ number }) => number);
 
@@ -63,7 +63,7 @@
     });
     watch.run(entry.stop.signal).catch(() => undefined);
     membership.run(entry.stop.signal).then((ended) => {
-      entry.ended = ended;
+      entry.endReason = ended;
     });
     return entry;
   }
@@ -76,6 +76,6 @@
 
   /** Whether the entry can work at the given time. */
   isUp(now: number): boolean {
-    return !this.dead && this.ended === undefined && now >= this.pausedUntil;
+    return !this.dead && this.endReason === undefined && now >= this.pausedUntil;
   }
 }
--- a/tools/measureMembership/Simulation.ts
+++ b/tools/measureMembership/Simulation.ts
@@ -117,7 +117,7 @@
   }
 
   private replaceEnded(): void {
-    const ended = this.entries.filter((entry) => entry.dead || entry.ended === 'removed');
+    const ended = this.entries.filter((entry) => entry.dead || entry.endReason === 'removed');
     this.entries = this.entries.filter((entry) => !ended.includes(entry));
     ended.forEach((entry) => {
       if (!entry.dead) this.costs.falseRemovals += 1;
@@ -150,7 +150,7 @@
   }
 
   private alive(): SimulatedEntry[] {
-    return this.entries.filter((entry) => !entry.dead && entry.ended === undefined);
+    return this.entries.filter((entry) => !entry.dead && entry.endReason === undefined);
   }
 
   private happens(perHour: number): boolean {
