--- a/tools/backend/main.ts
+++ b/tools/backend/main.ts
@@ -24,11 +24,14 @@
   .command('', 'Run a backend server stand-in')
   .option('--sidecar <address>', 'Announcement address of the sidecar, "ip:port"')
   .option('--service <name>', 'Service that the tasks belong to', { default: 'booking' })
-  .option('--slots <number>', 'Tasks run at once', { default: DEFAULT_SLOTS })
+  .option('--slots <number>', 'Number of tasks run at the same time', { default: DEFAULT_SLOTS })
   .option('--connections <number>', 'Connections accepted', { default: DEFAULT_CONNECTIONS })
-  .option('--listen <address>', 'Where tasks are taken, "ip:port"', { default: '127.0.0.1:0' })
+  .option('--listen <address>', 'Address that accepts tasks, "ip:port"', { default: '127.0.0.1:0' })
   .option('--drain <ms>', 'Wait for running tasks when leaving', { default: DEFAULT_DRAIN_MS })
-  .option('--recorder <address>', 'Where each start is reported before it runs, "ip:port"')
+  .option(
+    '--recorder <address>',
+    'Address to which each start is reported before it runs, "ip:port"',
+  )
   .option('--name <name>', 'Name of this backend server in those reports', { default: 'backend' })
   .action(run);
 cli.help();
--- a/tools/chaos/main.ts
+++ b/tools/chaos/main.ts
@@ -23,19 +23,19 @@
 
 const cli = cac('chaos');
 cli
-  .command('', 'Disturb a whole system under load and check what callers were promised')
-  .option('--seconds <number>', 'How long to disturb it', { default: 60 })
+  .command('', 'Disrupt a whole system under load and check the guarantees to callers')
+  .option('--seconds <number>', 'Duration of the disruptions', { default: 60 })
   .option('--seed <number>', 'Seed of the schedule', { default: Date.now() % SEED_RANGE })
-  .option('--rolling', 'Replace all processes one by one instead, in good order', {
+  .option('--rolling', 'Replace all processes one by one instead, gracefully', {
     default: false,
   })
   .option('--entries <number>', 'Entries', { default: 4 })
   .option('--backends <number>', 'Sidecars, each with its backend server', { default: 8 })
   .option('--slots <number>', 'Slots of each backend server', { default: 8 })
-  .option('--callers <number>', 'Callers at once', { default: 24 })
-  .option('--skew <ms>', 'Clock difference that the entries allow for', { default: CLOCK_SKEW_MS })
+  .option('--callers <number>', 'Number of concurrent callers', { default: 24 })
+  .option('--skew <ms>', 'Clock skew that the entries tolerate', { default: CLOCK_SKEW_MS })
   .option('--kinds <names>', 'Kinds of disruptions, separated by commas', { default: '' })
-  .option('--logs <folder>', 'Write what the processes print to files here')
+  .option('--logs <folder>', 'Write the output of the processes to files in this folder')
   .action(run);
 cli.help();
 cli.parse();
--- a/tools/measure/main.ts
+++ b/tools/measure/main.ts
@@ -26,15 +26,18 @@
 
 const cli = cac('measure');
 cli
-  .command('', 'Measure the dispatch on real processes')
+  .command('', 'Measure dispatch on real processes')
   .option('--quick', 'Every policy at 80% load, under two minutes')
-  .option('--scenario <names>', `Scenarios, with commas: ${Object.keys(scenarios).join(', ')}`)
-  .option('--policy <names>', `Policies, with commas: ${POLICIES.join(', ')}`)
+  .option(
+    '--scenario <names>',
+    `Scenarios, separated by commas: ${Object.keys(scenarios).join(', ')}`,
+  )
+  .option('--policy <names>', `Policies, separated by commas: ${POLICIES.join(', ')}`)
   .option('--json', 'Print JSON')
   .option('--plot <file>', 'Write the distributions of stretch as SVG')
   .option('--seed <number>', 'Seed of the load', { default: 1 })
   .option('--seconds <number>', 'Length of each load')
-  .option('--slower <factor>', 'Tasks and arrivals that much slower, for a busy machine', {
+  .option('--slower <factor>', 'Factor that slows down tasks and arrivals, for a busy machine', {
     default: 1,
   })
   .option('--entries <number>', 'Entries', { default: 3 })
--- a/tools/measureCapacity/main.ts
+++ b/tools/measureCapacity/main.ts
@@ -27,17 +27,17 @@
 
 const cli = cac('measureCapacity');
 cli
-  .command('', 'Measure what each unit of size costs each role')
+  .command('', 'Measure the cost of each unit of size for each role')
   .option('--json', 'Print the series as JSON', { default: false })
-  .option('--only <name>', 'Run the measures whose name contains this')
+  .option('--only <name>', 'Run the measurements whose name contains this')
   .action(measure);
 cli
-  .command('stand-ins', 'Hold links to an entry in place of sidecars')
+  .command('stand-ins', 'Open links to an entry in place of sidecars')
   .option('--entry <address>', 'Peer address of the entry')
-  .option('--name <name>', 'First part of the names of the sidecars')
+  .option('--name <name>', 'Prefix of the names of the sidecars')
   .option('--links <number>', 'Number of links')
   .option('--slots <number>', 'Slots of each sidecar')
-  .option('--task-ms <ms>', 'How long a task takes')
+  .option('--task-ms <ms>', 'Run time of a task')
   .action(runStandIns);
 cli.help();
 cli.parse();
--- a/tools/measureCapacity/measureRecords.ts
+++ b/tools/measureCapacity/measureRecords.ts
@@ -50,7 +50,7 @@
   return made ? after - before : 0;
 }
 
-/** Collects several pass, because memory freed by finalizers is only reclaimed by a later collection. */
+/** Collects several times, because memory freed by finalizers is only reclaimed by a later collection. */
 function collectGarbage(collect: () => void): void {
   for (let pass = 0; pass < GC_PASSES; pass += 1) collect();
 }
--- a/tools/measureConfig/callsBetween.ts
+++ b/tools/measureConfig/callsBetween.ts
@@ -1,6 +1,6 @@
 type Calls = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
-/** Number of calls that the named processes newCalls between two readings, by kind. */
+/** Number of calls that the named processes made between two readings, by kind. */
 export default function callsBetween(
   before: Calls,
   after: Calls,
--- a/tools/measureConfig/main.ts
+++ b/tools/measureConfig/main.ts
@@ -6,8 +6,10 @@
 const cli = cac('measureConfig');
 
 cli
-  .command('', 'Measure how long changes of the manifest take to be in force at every process')
-  .option('--sizes <numbers>', 'Numbers of processes', { default: '10,40,100' })
+  .command('', 'Measure the time until changes of the manifest are in effect at every process')
+  .option('--sizes <numbers>', 'Numbers of processes, separated by commas', {
+    default: '10,40,100',
+  })
   .option('--json', 'Print the results as JSON')
   .action(async ({ sizes, json }: { sizes: string | number; json?: boolean }) => {
     const results: SizeResult[] = [];
