--- a/tools/local/main.ts
+++ b/tools/local/main.ts
@@ -1,12 +1,12 @@
 import demoManifest from '../demo/demoManifest';
 import Cluster from '../harness/Cluster';
 
-// A whole system on this machine, left running until Ctrl-C, for trying things by hand.
+// Runs a whole system on this machine until Ctrl-C, for manual experiments.
 const cluster = await Cluster.start(
   { entries: 3, backends: 4, slots: 8, connections: 64, zones: 3 },
   demoManifest,
 );
-const stopped = new Promise<void>((resolve) => {
+const interrupted = new Promise<void>((resolve) => {
   process.once('SIGINT', resolve);
   process.once('SIGTERM', resolve);
 });
@@ -15,7 +15,7 @@
 );
 print(`store      http://${cluster.platform}`);
 cluster.entryNames.sort().forEach((entry) => {
-  print(`${entry}    callers ${cluster.callersOf(entry)}  operators ${operatorsOf(entry)}`);
+  print(`${entry}    callers ${cluster.callersUrl(entry)}  operators ${operatorsOf(entry)}`);
 });
 cluster.backendNames.sort().forEach((backend) => {
   const sidecar = backend.replace('backend', 'sidecar');
@@ -25,16 +25,16 @@
 print(`A first job:\n${firstJob()}`);
 print('');
 print('Running. Ctrl-C stops all of it.');
-await stopped;
+await interrupted;
 await cluster.stop();
 process.exit(0);
 
 function operatorsOf(name: string): string {
-  return `http://${cluster.operatorsOf(name)}`;
+  return `http://${cluster.operatorsAddress(name)}`;
 }
 
 function firstJob(): string {
-  const url = `${cluster.callersOf('entry-1')}/v1/services/booking/jobs/my-job?wait=5000`;
+  const url = `${cluster.callersUrl('entry-1')}/v1/services/booking/jobs/my-job?wait=5000`;
   return [
     `curl -X PUT '${url}' \\`,
     `  -H "Magnoliakeel-Created: $(date +%s%3N)" \\`,
--- a/tools/measure/replayIdeal.ts
+++ b/tools/measure/replayIdeal.ts
@@ -1,20 +1,20 @@
 import type Arrival from './Arrival';
-import Stretches from './Stretches';
+import StretchHistograms from './StretchHistograms';
 
 /**
- * What the same arrivals would get from one queue with perfect knowledge: each
- * task takes the slot that is free first, in the order of arrival.
+ * Stretches of the same arrivals in an ideal single queue with perfect knowledge: in the
+ * order of arrival, each task runs in the slot that becomes free first.
  */
 export default function replayIdeal(
   arrivals: readonly Arrival[],
   slots: number,
   hopMs: number,
-): Stretches {
+): StretchHistograms {
   const freeAt = new Array<number>(slots).fill(0);
-  const stretches = Stretches.create();
+  const stretches = StretchHistograms.create();
   arrivals.forEach((arrival) => {
     if (arrival.cancelAfterMs !== undefined) return;
-    const ends = arrival.runs.map((run) => {
+    const ends = arrival.taskRunMs.map((run) => {
       const slot = freeAt.indexOf(Math.min(...freeAt));
       freeAt[slot] = Math.max(freeAt[slot]!, arrival.atMs) + run;
       return freeAt[slot];
