--- a/src/batches/OperatorSettings.ts
+++ b/src/batches/OperatorSettings.ts
@@ -46,7 +46,7 @@
     this.log.info('the drained availability zones have changed', {
       revision: Number(revision),
       zones,
-      previous,
+      were: previous,
       source,
     });
     return true;
