--- a/test/soak/Checker.test.ts
+++ b/test/soak/Checker.test.ts
@@ -9,17 +9,17 @@
 beforeEach(() => {
   timer = ManualTimer.create();
   checker = Checker.create(timer);
-  checker.sent('a', ['a.0.0.0']);
+  checker.jobSent('a', ['a.0.0.0']);
 });
 
 const run = (task: string, backend = 'b1', cpuMilli = 1_000) =>
   checker.runStarted({ backend, task, cpuMilli }, 2_000);
 
 const answer = (status: number, text = '', sentAt = 0) =>
-  checker.answered({ id: 'a', entry: 'e1', sentAt, status, text });
+  checker.jobAnswered({ id: 'a', entry: 'e1', sentAt, status, text });
 
 const configured = (version: number) =>
-  checker.printed('e1', `{"version":${version},"message":"a configuration is in force"}`);
+  checker.checkLine('e1', `{"version":${version},"message":"a configuration is in force"}`);
 
 const kinds = () => checker.findings.map(({ kind }) => kind);
 
@@ -29,126 +29,138 @@
 
 test.each<[string, string[], () => unknown]>([
   [
-    'two runs of one task on two backend servers',
+    'two concurrent runs of one task at two backend servers',
     ['two runs of one task'],
     () => [run('a.0.0.0'), run('a.0.0.0', 'b2')],
   ],
   [
-    'more than a backend server holds',
+    'tasks that exceed the capacity of a backend server',
     ['capacity exceeded'],
     () => [run('a.0.0.0'), run('a.0.0.1'), run('a.0.0.2')],
   ],
   [
-    'a refused job that ran',
+    'a job that ran although it was refused',
     ['a refused job ran'],
     () => [
       run('a.0.0.0'),
       answer(503, REFUSAL),
       checker.runEnded('b1', 'a.0.0.0', 'lost'),
-      checker.finish([], 0),
+      checker.checkAtEnd([], 0),
     ],
   ],
   [
-    'a completed job of which nothing was done',
+    'a job answered as completed of which no task was done',
     ['completed without all tasks done'],
     () => answer(200, COMPLETED),
   ],
   ['a 200 without a state', ['an answer is not whole'], () => answer(200, '{"sta')],
-  ['a refusal without its time', ['an answer is not whole'], () => answer(503, '{"error":"no"}')],
-  ['an unclear failure', ['an answer is not whole'], () => answer(504)],
-  ['an answer of another kind', ['an answer is not whole'], () => answer(404, '{"error":"no"}')],
+  [
+    'a refusal without a retry time',
+    ['an answer is not whole'],
+    () => answer(503, '{"error":"no"}'),
+  ],
+  ['a 504 without an error', ['an answer is not whole'], () => answer(504)],
+  [
+    'an answer with an unexpected status',
+    ['an answer is not whole'],
+    () => answer(404, '{"error":"no"}'),
+  ],
   ['a broken connection', ['neither answer nor refusal'], () => answer(0, 'socket hang up')],
   [
-    'an unanswered copy of a job of which another copy is closed by its caller',
+    'an unanswered duplicate submission when the caller closes the connection of the other',
     ['neither answer nor refusal'],
-    () => [checker.sent('a', ['a.0.0.0']), checker.closed('a'), answer(0, 'socket hang up')],
+    () => [
+      checker.jobSent('a', ['a.0.0.0']),
+      checker.connectionClosed('a'),
+      answer(0, 'socket hang up'),
+    ],
   ],
   [
-    'two copies of a job that run at once, of which its caller has closed one',
+    'two concurrent runs of duplicate submissions of which the caller has closed one',
     ['two runs of one task'],
     () => [
-      ...[checker.sent('a', ['a.0.0.0']), run('a.0.0.0'), checker.closed('a')],
+      ...[checker.jobSent('a', ['a.0.0.0']), run('a.0.0.0'), checker.connectionClosed('a')],
       ...[run('a.0.0.0', 'b2'), checker.runEnded('b1', 'a.0.0.0', 'stopped')],
     ],
   ],
   [
-    'a job that ran of which each of two copies was refused',
+    'a job that ran although both of its duplicate submissions were refused',
     ['a refused job ran'],
     () => [
-      ...[checker.sent('a', ['a.0.0.0']), run('a.0.0.0')],
+      ...[checker.jobSent('a', ['a.0.0.0']), run('a.0.0.0')],
       ...[answer(503, REFUSAL), answer(503, REFUSAL)],
-      ...[checker.runEnded('b1', 'a.0.0.0', 'lost'), checker.finish([], 0)],
+      ...[checker.runEnded('b1', 'a.0.0.0', 'lost'), checker.checkAtEnd([], 0)],
     ],
   ],
   [
-    'a run that goes on when its caller has closed the connection',
+    'a run that continues after its caller has closed the connection',
     ['runs go on without a caller'],
-    () => [run('a.0.0.0'), checker.closed('a'), checker.finish([], 0)],
+    () => [run('a.0.0.0'), checker.connectionClosed('a'), checker.checkAtEnd([], 0)],
   ],
   [
     'a process that ended by itself',
     ['a process ended by itself'],
-    () => checker.exited('e1', 'with code 1', false),
+    () => checker.processExited('e1', 'with code 1', false),
   ],
   [
-    'an error that reached nobody',
+    'an error that no code handled',
     ['an error reached nobody'],
-    () => checker.printed('e1', '{"message":"an error reached nobody"}'),
+    () => checker.checkLine('e1', '{"message":"an error reached nobody"}'),
   ],
   [
-    'a configuration that goes back',
+    'a configuration with a lower version than the one before',
     ['configuration went back'],
     () => [configured(5), configured(4)],
   ],
   [
-    'an entry that serves no more',
+    'an entry that does not serve again after the last fault',
     ['not served again after the last fault'],
     () => [
       run('a.0.0.0'),
       checker.runEnded('b1', 'a.0.0.0', 'done'),
       [0, 1, 2, 3, 4].forEach((sentAt) => answer(200, COMPLETED, sentAt)),
-      checker.finish(['e1'], 0),
+      checker.checkAtEnd(['e1'], 0),
     ],
   ],
   [
-    'a run that nobody ends',
+    'a run that is never ended',
     ['runs go on without a caller'],
-    () => [run('a.0.0.0'), checker.finish([], 0)],
+    () => [run('a.0.0.0'), checker.checkAtEnd([], 0)],
   ],
-])('finds %s', (_what, found, happen) => {
-  happen();
-  expect(kinds()).toEqual(found);
+])('reports %s', (_what, expected, act) => {
+  act();
+  expect(kinds()).toEqual(expected);
 });
 
-test('finds a request that was cut off by a planned stop', async () => {
+test('reports a request that was sent before a graceful shutdown and lost by it', async () => {
   await timer.advance(2_000);
-  checker.disturbed('e1', 'stop');
+  checker.processDisturbed('e1', 'stop');
   await timer.advance(3_000);
   answer(0, 'socket hang up', 500);
   expect(kinds()).toEqual(['neither answer nor refusal']);
 });
 
-test('finds a request without an answer long after its entry went on', async () => {
-  checker.disturbed('e1', 'hard');
-  checker.recovered('e1');
+test('reports a request without an answer long after its entry was resumed', async () => {
+  checker.processDisturbed('e1', 'hard');
+  checker.processRecovered('e1');
   await timer.advance(5_000);
   answer(0, 'silence', 4_000);
   expect(kinds()).toEqual(['neither answer nor refusal']);
 });
 
-test('finds nothing when a caller closes its connection and the job runs at another entry', () => {
+test('reports nothing when a caller closes its connection and the job runs through another entry', () => {
   run('a.0.0.0');
-  checker.closed('a');
+  checker.connectionClosed('a');
   checker.runEnded('b1', 'a.0.0.0', 'stopped');
   run('a.0.0.0', 'b2');
   checker.runEnded('b2', 'a.0.0.0', 'done');
   answer(200, COMPLETED);
   answer(503, REFUSAL);
-  checker.finish([], 0);
+  checker.checkAtEnd([], 0);
   expect(checker.findings).toEqual([]);
 });
 
-test('finds nothing where all goes as promised', async () => {
+test('reports nothing when all guarantees hold', async () => {
   configured(1);
   run('a.0.0.0');
   checker.runEnded('b1', 'a.0.0.0', 'lost');
@@ -156,11 +168,11 @@
   checker.runEnded('b2', 'a.0.0.0', 'done');
   await timer.advance(100);
   [50, 51, 52, 53, 54].forEach((sentAt) => answer(200, COMPLETED, sentAt));
-  checker.disturbed('e1', 'hard');
+  checker.processDisturbed('e1', 'hard');
   answer(0, 'socket hang up', 90);
-  checker.exited('e1', 'with SIGKILL', true);
-  checker.born('e1');
+  checker.processExited('e1', 'with SIGKILL', true);
+  checker.processStarted('e1');
   configured(1);
-  checker.finish(['e1'], 0);
+  checker.checkAtEnd(['e1'], 0);
   expect(checker.findings).toEqual([]);
 });
--- a/test/soak/runSoak.test.ts
+++ b/test/soak/runSoak.test.ts
@@ -2,7 +2,7 @@
 import type Fault from '../../tools/soak/Fault';
 import runSoak from '../../tools/soak/runSoak';
 
-// Building, starting and the last jobs take seconds beside other busy processes.
+// Building, starting and the last jobs take seconds on a busy machine.
 vi.setConfig({ testTimeout: 60_000 });
 
 const faults: readonly Fault[] = [
@@ -19,7 +19,7 @@
   { kind: 'kill', atMs: 2_600, forMs: 300, target: 'entry-1' },
 ];
 
-test('real processes keep their promises under faults from outside them', async () => {
+test('real processes keep their guarantees under external faults', async () => {
   const size = { entries: 2, sidecars: 3, callers: 6 };
   const { findings, counts } = await runSoak({ ...size, seed: 5, seconds: 4, faults });
   expect(findings).toEqual([]);
--- a/test/soak/sendingWays.test.ts
+++ b/test/soak/sendingWays.test.ts
@@ -14,14 +14,14 @@
 
 const job = { id: 'a', body: '{}', tasks: [], deadlineMs: 5_000 };
 
-/** Answers later than any caller's patience, with a state that the checker accepts. */
+/** Time to an answer, ms: later than any caller uses another entry. The answer has a state that the checker accepts. */
 const ANSWER_MS = 1_000;
 
 let servers: Server[];
 
 let connections: Set<EntryConnection>;
 
-/** Each entry that got the job, in that order, and what became of it there. */
+/** The entries that received the job, in order, each with how the request ended there. */
 let seen: string[][];
 
 beforeEach(async () => {
@@ -45,11 +45,11 @@
 
 async function send(way: SendingWay, act?: () => void) {
   const checker = Checker.create(timer);
-  const note = (): void => undefined;
+  const logLine = (): void => undefined;
   const random = Random.fromSeed(1);
   const addressOf = (server: Server) => `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const entries = new Map(servers.map((server, index) => [`e${index + 1}`, addressOf(server)]));
-  const sender = JobSender.create({ timer, random, checker, entries, connections, note });
+  const sender = JobSender.create({ timer, random, checker, entries, connections, logLine });
   if (act) timer.after(100, act);
   const { status, isReset } = await sendingWays[way](job, { timer, random, sender });
   await vi.waitFor(() => expect(seen.every(({ length }) => length > 1)).toBe(true), 5_000);
--- a/tools/soak/EntryConnection.ts
+++ b/tools/soak/EntryConnection.ts
@@ -4,7 +4,7 @@
 import type Job from './Job';
 import type Sending from './Sending';
 
-/** A caller's connection to an entry, open until it breaks or is closed. */
+/** A caller's connection to an entry, kept open until it breaks or is closed. */
 export default class EntryConnection {
   private readonly client: Client;
 
@@ -28,21 +28,21 @@
     });
   }
 
-  /** Creates a connection, which is opened for its first request. */
+  /** Creates a connection that is opened by its first request. */
   static to(timer: TimerService, entry: string, address: string): EntryConnection {
     return new EntryConnection(timer, entry, address);
   }
 
-  /** Submits a job and waits for its answer; when `gone` aborts first, the connection is closed. */
-  async send({ id, body, deadlineMs }: Job, gone?: AbortSignal): Promise<Sending> {
+  /** Submits a job and waits for its answer; if `cancel` aborts first, the connection is closed. */
+  async send({ id, body, deadlineMs }: Job, cancel?: AbortSignal): Promise<Sending> {
     const { resets } = this;
-    const late = new AbortController();
-    const limit = this.timer.after(deadlineMs + LATE_MS, () => late.abort('silence'));
+    const timeout = new AbortController();
+    const limit = this.timer.after(deadlineMs + TOLERANCE_MS, () => timeout.abort('silence'));
     const headers = {
       ...{ host: 'soak.example', 'content-type': 'application/json' },
       'x-deadline-ms': String(deadlineMs),
     };
-    const signal = gone ? AbortSignal.any([late.signal, gone]) : late.signal;
+    const signal = cancel ? AbortSignal.any([timeout.signal, cancel]) : timeout.signal;
     try {
       const path = `/jobs/${id}`;
       const res = await this.client.request({ path, headers, body, signal, method: 'POST' });
@@ -65,18 +65,18 @@
     }
   }
 
-  /** Resets it as a network does that has lost it; the next request opens another to the same entry. */
+  /** Resets the connection, as after a network failure; the next request opens another to the same entry. */
   reset(): void {
     if (!this.socket || this.socket.destroyed) return;
     this.resets += 1;
     this.socket.resetAndDestroy();
   }
 
-  /** Closes it at once. */
+  /** Closes the connection at once. */
   async close(): Promise<void> {
     await this.client.destroy();
   }
 }
 
-/** How much later than a job's deadline an answer may come on a busy machine, ms. */
-const LATE_MS = 3_000;
+/** Tolerance after a job's deadline within which an answer may arrive on a busy machine, ms. */
+const TOLERANCE_MS = 3_000;
--- a/tools/soak/Fault.ts
+++ b/tools/soak/Fault.ts
@@ -1,4 +1,4 @@
-/** One thing that goes wrong, for a while. */
+/** One injected fault. */
 export default interface Fault {
   readonly kind:
     | 'silence'
@@ -17,19 +17,20 @@
     | 'store-slow'
     | 'store-loses-answers'
     | 'store-cut';
-  /** When it begins, ms since the run began. */
+  /** Start, ms since the start of the run. */
   readonly atMs: number;
-  /** How long it lasts, ms; a process that ended starts again after it. */
+  /** Duration, ms; a process that was ended starts again afterwards. */
   readonly forMs: number;
-  /** The process concerned: whom it strikes, or whose connections; the whole store when left out. */
+  /** The process that the fault affects, or whose connections it affects; faults of the whole store ignore it. */
   readonly target: string;
-  /** For connections: only those dialled by this process. */
+  /** For faults of connections: only those dialled by this process; all if absent. */
   readonly from?: string;
-  /** For a silence: which sides are not heard, and whether it ends by resets. */
+  /** For `silence`: the sides whose data is withheld. */
   readonly sides?: readonly ('near' | 'far')[];
-  /** Whether connections made meanwhile are silent too. */
+  /** For `silence`: whether connections opened meanwhile are silent too. */
   readonly alsoNew?: boolean;
+  /** For `silence`: whether it ends with resets of the connections. */
   readonly endsByReset?: boolean;
-  /** For delays, ms. */
+  /** For `delay` and `store-slow`: the added delay, ms. */
   readonly ms?: number;
 }
--- a/tools/soak/Finding.ts
+++ b/tools/soak/Finding.ts
@@ -1,6 +1,6 @@
-/** A promise that was broken. */
+/** A violated guarantee. */
 export default interface Finding {
-  /** When it showed, ms since the run began. */
+  /** When it was found, ms since the start of the run. */
   readonly atMs: number;
   readonly kind: string;
   readonly what: string;
--- a/tools/soak/Job.ts
+++ b/tools/soak/Job.ts
@@ -3,6 +3,6 @@
   readonly id: string;
   readonly body: string;
   readonly tasks: readonly string[];
-  /** How long its caller says that it waits, ms. */
+  /** Deadline that its caller states, ms after sending. */
   readonly deadlineMs: number;
 }
--- a/tools/soak/JobSender.ts
+++ b/tools/soak/JobSender.ts
@@ -9,15 +9,15 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly checker: Checker;
-  /** Where entries take callers, by name. */
+  /** Addresses at which entries accept callers, by entry name. */
   readonly entries: ReadonlyMap<string, string>;
   /** The connections of all callers. */
   readonly connections: Set<EntryConnection>;
-  /** Takes a line on each sending. */
-  readonly note: (text: string) => void;
+  /** Writes a line to the run's log. */
+  readonly logLine: (text: string) => void;
 }
 
-/** Sends the jobs of one caller over the connection that it keeps, and tells the checker of each sending. */
+/** Sends the jobs of one caller over its current connection, and reports each request to the checker. */
 export default class JobSender {
   private current: EntryConnection;
 
@@ -25,35 +25,35 @@
     this.current = this.connect([...opts.entries.keys()]);
   }
 
-  /** Creates a sender that uses any of the entries. */
+  /** Creates a sender connected to a random entry. */
   static create(opts: JobSenderOptions): JobSender {
     return new JobSender(opts);
   }
 
-  /** Sends a job over the connection kept, or over another. When `gone` aborts, the caller closes that itself. */
-  async send(job: Job, connection = this.current, gone?: AbortSignal): Promise<Sending> {
-    const { timer, checker, note } = this.opts;
+  /** Sends a job over the current connection or the one given; when `cancel` aborts, the caller closes it. */
+  async send(job: Job, connection = this.current, cancel?: AbortSignal): Promise<Sending> {
+    const { timer, checker, logLine } = this.opts;
     const { id, tasks } = job;
     const { entry } = connection;
     const sentAt = timer.now();
-    checker.sent(id, tasks);
-    note(`caller sends ${id} to ${entry}`);
-    const sending = await connection.send(job, gone);
+    checker.jobSent(id, tasks);
+    logLine(`caller sends ${id} to ${entry}`);
+    const sending = await connection.send(job, cancel);
     const { status, text, isUnsent, isReset } = sending;
-    const isClosed = status === 0 && (isReset || gone?.aborted === true);
-    note(`caller has ${isClosed ? 'closed' : status} for ${id} from ${entry} ${text}`);
-    if (isClosed) checker.closed(id);
-    else if (!isUnsent) checker.answered({ id, entry, sentAt, status, text });
+    const isClosed = status === 0 && (isReset || cancel?.aborted === true);
+    logLine(`caller has ${isClosed ? 'closed' : status} for ${id} from ${entry} ${text}`);
+    if (isClosed) checker.connectionClosed(id);
+    else if (!isUnsent) checker.jobAnswered({ id, entry, sentAt, status, text });
     return sending;
   }
 
-  /** Closes the connection kept and keeps another, to any entry. */
+  /** Replaces the current connection by one to a random entry, and closes it. */
   async reconnect(): Promise<void> {
-    await this.close(this.keep(this.connect([...this.opts.entries.keys()])));
+    await this.close(this.switchTo(this.connect([...this.opts.entries.keys()])));
   }
 
-  /** Keeps this connection and returns the one kept before, still open. */
-  keep(connection: EntryConnection): EntryConnection {
+  /** Makes a connection the current one and returns the former one, still open. */
+  switchTo(connection: EntryConnection): EntryConnection {
     const { current } = this;
     this.current = connection;
     return current;
@@ -65,14 +65,14 @@
     await connection.close();
   }
 
-  /** A further connection, to another entry than the one kept if the caller knows any. */
-  elsewhere(): EntryConnection {
+  /** Creates a connection to another entry than the current one, if the caller knows any other. */
+  connectElsewhere(): EntryConnection {
     const names = [...this.opts.entries.keys()];
     const others = names.filter((name) => name !== this.current.entry);
     return this.connect(others.length > 0 ? others : names);
   }
 
-  /** The connection kept. */
+  /** The current connection. */
   get connection(): EntryConnection {
     return this.current;
   }
--- a/tools/soak/Sending.ts
+++ b/tools/soak/Sending.ts
@@ -1,10 +1,10 @@
-/** What became of one sending of a job. */
+/** The result of sending a job once. */
 export default interface Sending {
-  /** 0 when there was no answer. */
+  /** HTTP status; 0 if there was no answer. */
   readonly status: number;
   readonly text: string;
-  /** True when there was no connection, so that nothing was sent. */
+  /** Whether the connection was refused, so that nothing was sent. */
   readonly isUnsent: boolean;
-  /** True when the connection was reset on the caller's side. */
+  /** Whether the connection was reset on the caller's side. */
   readonly isReset: boolean;
 }
--- a/tools/soak/SoakCaller.ts
+++ b/tools/soak/SoakCaller.ts
@@ -14,19 +14,19 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly checker: Checker;
-  /** Where entries take callers, by name. */
+  /** Addresses at which entries accept callers, by entry name. */
   readonly entries: ReadonlyMap<string, string>;
-  /** How some of the jobs are sent; all are sent once when left out. */
+  /** How some of the jobs are sent; if absent, each is sent to one entry at a time. */
   readonly unusual?: UnusualSendings;
-  /** Decides which jobs these are, and their moments. */
-  readonly chance: Random;
+  /** Decides how jobs are sent; `random` decides the jobs and the pauses between them. */
+  readonly wayRandom: Random;
   /** The connections of all callers. */
   readonly connections: Set<EntryConnection>;
-  /** Takes a line on each sending. */
-  readonly note: (text: string) => void;
+  /** Writes a line to the run's log. */
+  readonly logLine: (text: string) => void;
 }
 
-/** One caller: submits jobs one after the other, over the connection it has for as long as that lasts. */
+/** A caller that submits jobs one after the other, over one connection for as long as it lasts. */
 export default class SoakCaller {
   private readonly sender: JobSender;
 
@@ -34,12 +34,12 @@
     this.sender = JobSender.create(opts);
   }
 
-  /** Submits until the signal aborts, and resolves once the last job has its end. */
+  /** Submits jobs until the signal aborts; resolves once the last job has ended. */
   static async run(opts: SoakCallerOptions, stop: AbortSignal): Promise<void> {
     const caller = new SoakCaller(opts);
     const { timer, random } = opts;
     while (!stop.aborted) {
-      await timer.sleep(random.jitter(GAP_MS), stop);
+      await timer.sleep(random.jitter(MEAN_GAP_MS), stop);
       if (!stop.aborted) await caller.submit(caller.makeJob(), stop);
     }
     await caller.sender.close(caller.sender.connection);
@@ -65,48 +65,54 @@
     return { id, tasks, deadlineMs, body: JSON.stringify({ best_effort: true, spec, steps }) };
   }
 
-  /** Sends a job until it is answered or refused, a few times at most and not again after the signal. */
+  /** Sends a job until it is answered or refused, a few times at most, and not again once `stop` aborts. */
   private async submit(job: Job, stop: AbortSignal): Promise<void> {
-    const { timer, chance } = this.opts;
+    const { timer, wayRandom } = this.opts;
     const { sender } = this;
     let way = this.chooseWay();
-    let left = MOST_SENDINGS;
-    while (left > 0) {
-      const { status, isUnsent } = await sendingWays[way](job, { timer, random: chance, sender });
+    let attemptsLeft = MAX_ATTEMPTS;
+    while (attemptsLeft > 0) {
+      const { status, isUnsent } = await sendingWays[way](job, {
+        timer,
+        random: wayRandom,
+        sender,
+      });
       if (isUnsent) {
         await sender.reconnect();
-        await timer.sleep(REFUSED_MS);
+        await timer.sleep(RECONNECT_PAUSE_MS);
         continue;
       }
       way = 'once';
-      if (!AGAIN.has(status) || stop.aborted) return;
+      if (!RETRIED_STATUSES.has(status) || stop.aborted) return;
       if (status === 0) await sender.reconnect();
-      left -= 1;
+      attemptsLeft -= 1;
       await timer.sleep(RESEND_MS);
     }
   }
 
   private chooseWay(): SendingWay {
-    const { unusual, chance } = this.opts;
-    if (!unusual || chance.below(unusual.oneIn) > 0) return 'once';
-    return unusual.ways[chance.below(unusual.ways.length)]!;
+    const { unusual, wayRandom } = this.opts;
+    if (!unusual || wayRandom.below(unusual.oneIn) > 0) return 'once';
+    return unusual.ways[wayRandom.below(unusual.ways.length)]!;
   }
 }
 
-/** Answers after which a job is sent again; 0 is none. */
-const AGAIN: ReadonlySet<number> = new Set([0, 502, 504]);
+/** Statuses after which a job is sent again; 0 is no answer. */
+const RETRIED_STATUSES: ReadonlySet<number> = new Set([0, 502, 504]);
 
 /** Pause after a connection was refused, ms. */
-const REFUSED_MS = 100;
+const RECONNECT_PAUSE_MS = 100;
 
-const MOST_SENDINGS = 4;
+/** How often a job is sent at most; refused connections don't count. */
+const MAX_ATTEMPTS = 4;
 
 /** Mean pause between the jobs of a caller, ms. */
-const GAP_MS = 120;
+const MEAN_GAP_MS = 120;
 
+/** Upper limits of the duration of tasks beyond 20 ms, ms; one job in eight uses the longer. */
 const SHORT_MS = 150;
 
 const LONG_MS = 1_500;
 
-/** What a task needs, thousandths of a core. */
+/** Cores that a task may ask for, thousandths. */
 const CPU_MILLI = [500, 1_000, 2_000];
--- a/tools/soak/UnusualSendings.ts
+++ b/tools/soak/UnusualSendings.ts
@@ -1,9 +1,9 @@
 import type SendingWay from './SendingWay';
 
-/** The jobs that callers send in other ways than once. */
+/** Which jobs callers send in other ways than `once`. */
 export default interface UnusualSendings {
   /** The ways to draw from. */
   readonly ways: readonly SendingWay[];
-  /** Of how many jobs one is sent so, on average. */
+  /** One in this many jobs is sent in such a way, on average. */
   readonly oneIn: number;
 }
--- a/tools/soak/strike.ts
+++ b/tools/soak/applyFault.ts
@@ -4,59 +4,59 @@
 
 type Action = (world: World, fault: Fault, checker: Checker) => (() => void) | undefined;
 
-/** Puts a fault in force; what comes back ends it, if it does not end by itself. */
-export default function strike(world: World, fault: Fault, checker: Checker): () => void {
-  world.note(`fault: ${JSON.stringify(fault)}`);
+/** Applies a fault; the function returned ends it, unless it ends by itself. */
+export default function applyFault(world: World, fault: Fault, checker: Checker): () => void {
+  world.logLine(`fault: ${JSON.stringify(fault)}`);
   const end = actions[fault.kind](world, fault, checker);
   return () => {
-    world.note(`fault ends: ${fault.kind} ${fault.target}`);
+    world.logLine(`fault ends: ${fault.kind} ${fault.target}`);
     end?.();
   };
 }
 
-/** What each fault does. */
+/** Applies a fault of each kind. */
 const actions: Readonly<Record<Fault['kind'], Action>> = {
   silence: (world, fault) => {
     const { sides, alsoNew, endsByReset } = fault;
-    const rule = { sides, alsoNew, from: dialler(world, fault) };
-    const proxy = world.links.get(fault.target)!;
+    const rule = { sides, alsoNew, from: diallerIp(world, fault) };
+    const proxy = world.peerProxies.get(fault.target)!;
     proxy.freeze(rule);
     return () => (endsByReset ? proxy.reset(rule) : proxy.thaw(rule));
   },
   cut: (world, fault) => {
-    const rule = { from: dialler(world, fault) };
-    const proxy = world.links.get(fault.target)!;
+    const rule = { from: diallerIp(world, fault) };
+    const proxy = world.peerProxies.get(fault.target)!;
     proxy.cut(rule);
     return () => proxy.mend(rule);
   },
   reset: (world, fault) => {
-    const rule = { from: dialler(world, fault) };
-    const proxy = world.links.get(fault.target)!;
+    const rule = { from: diallerIp(world, fault) };
+    const proxy = world.peerProxies.get(fault.target)!;
     proxy.freeze(rule);
     proxy.reset(rule);
     return undefined;
   },
   delay: (world, { target, ms = 0 }) => {
-    const proxy = world.links.get(target)!;
+    const proxy = world.peerProxies.get(target)!;
     proxy.delayMs += ms;
     return () => {
       proxy.delayMs -= ms;
     };
   },
   pause: (world, { target }, checker) => {
-    checker.disturbed(target, 'hard');
+    checker.processDisturbed(target, 'hard');
     world.processes.signal(target, 'SIGSTOP');
     return () => {
       world.processes.signal(target, 'SIGCONT');
-      checker.recovered(target);
+      checker.processRecovered(target);
     };
   },
   kill: (world, { target, forMs }) => {
-    world.end(target, 'SIGKILL', forMs);
+    world.stopProcess(target, 'SIGKILL', forMs);
     return undefined;
   },
   stop: (world, { target, forMs }) => {
-    world.end(target, 'SIGTERM', forMs);
+    world.stopProcess(target, 'SIGTERM', forMs);
     return undefined;
   },
   reload: (world, { target }) => {
@@ -77,22 +77,22 @@
     return undefined;
   },
   flood: (world) => {
-    world.floods += 1;
+    world.activeFloods += 1;
     return () => {
-      world.floods -= 1;
+      world.activeFloods -= 1;
     };
   },
-  'store-down': (world) => world.disturbStore({ down: true }),
-  'store-slow': (world, { ms = 800 }) => world.disturbStore({ slowMs: ms }),
-  'store-loses-answers': (world) => world.disturbStore({ answerLost: true }),
+  'store-down': (world) => world.addStoreFaults({ down: true }),
+  'store-slow': (world, { ms = 800 }) => world.addStoreFaults({ slowMs: ms }),
+  'store-loses-answers': (world) => world.addStoreFaults({ answerLost: true }),
   'store-cut': (world, { target }) => {
     const rule = {};
-    const proxy = world.stores.get(target)!;
+    const proxy = world.storeProxies.get(target)!;
     proxy.cut(rule);
     return () => proxy.mend(rule);
   },
 };
 
-function dialler(world: World, { from }: Fault): string | undefined {
+function diallerIp(world: World, { from }: Fault): string | undefined {
   return from === undefined ? undefined : world.ipOf(from);
 }
--- a/tools/soak/kvRoutes.ts
+++ b/tools/soak/kvRoutes.ts
@@ -5,36 +5,41 @@
 import type StoreError from '../../src/store/StoreError';
 import type StoreItem from '../../src/store/StoreItem';
 
-/** A body of any of the calls; the product writes one key in each transaction. */
+/** Body of any of the calls; magnoliakeel writes one key in each transaction. */
 interface CallBody {
   readonly ttl_ms?: number;
   readonly expected_revision?: readonly { readonly revision: number }[];
   readonly writes?: readonly [{ key: string; value: string; lease_id: number }];
 }
 
-/** Answers a call on the store as the calling process sees it; `part` is what follows the name. */
+/** Answers a call on the calling process's view of the store; `part` is the path segment after the call's name. */
 type Answer = (
   store: Store,
   call: PlatformCall,
   part: string,
 ) => ResultAsync<object | undefined, StoreError>;
 
-/** The calls of the users' platform's store that the product makes, on the stand-in's engine. */
+/** The key-value calls of the users' platform that magnoliakeel makes, served by the simulated store. */
 const kvRoutes: readonly Route[] = [
   route('GET', 'kv-key', (store, { query }) =>
-    store.get(query.get('key') ?? '').map((item) => item && itemOf(item)),
+    store.get(query.get('key') ?? '').map((item) => item && encodeItem(item)),
   ),
   route('GET', 'kv-range', (store, { query }) =>
-    store
-      .list(query.get('prefix') ?? '')
-      .map(({ items, revision }) => ({ items: items.map(itemOf), at: revision, has_more: false })),
+    store.list(query.get('prefix') ?? '').map(({ items, revision }) => ({
+      items: items.map(encodeItem),
+      at: revision,
+      has_more: false,
+    })),
   ),
   route('GET', 'kv-watch', (store, { query, signal }) => {
     const [after, waitMs] = [Number(query.get('after')), Number(query.get('wait_ms'))];
     return store
       .watch(query.get('prefix') ?? '', after, waitMs, signal)
       .map(({ items, deleted, revision }) => ({
-        events: [...items.map(itemOf), ...deleted.map((key) => ({ key, revision, deleted: true }))],
+        events: [
+          ...items.map(encodeItem),
+          ...deleted.map((key) => ({ key, revision, deleted: true })),
+        ],
         at: revision,
       }));
   }),
@@ -42,7 +47,7 @@
     const { expected_revision: expected = [], writes } = body as CallBody;
     const { key, value, lease_id: lease } = writes![0];
     const text = Buffer.from(value, 'base64').toString('utf8');
-    const owner = lease === 0 ? undefined : `${LEASE}${lease}`;
+    const owner = lease === 0 ? undefined : `${LEASE_PREFIX}${lease}`;
     const options = { expectRevision: expected[0]?.revision, lease: owner };
     return store.put(key, text, options).map((revision) => ({ revision }));
   }),
@@ -50,17 +55,19 @@
     const { ttl_ms: ttlMs = 0 } = body as CallBody;
     return store
       .grantLease(ttlMs)
-      .map((id) => ({ lease_id: Number(id.slice(LEASE.length)), ttl_ms: ttlMs }));
+      .map((id) => ({ lease_id: Number(id.slice(LEASE_PREFIX.length)), ttl_ms: ttlMs }));
   }),
-  route('POST', 'kv-keep', (store, _call, id) => store.renewLease(`${LEASE}${id}`).map(() => ({}))),
+  route('POST', 'kv-keep', (store, _call, id) =>
+    store.renewLease(`${LEASE_PREFIX}${id}`).map(() => ({})),
+  ),
   route('DELETE', 'kv-lease-end', (store, _call, id) =>
-    store.revokeLease(`${LEASE}${id}`).map(() => ({})),
+    store.revokeLease(`${LEASE_PREFIX}${id}`).map(() => ({})),
   ),
 ];
 export default kvRoutes;
 
-/** How the engine names its leases; the platform numbers them. */
-const LEASE = 'lease-';
+/** Prefix of the engine's lease names; on the platform, leases are numbers. */
+const LEASE_PREFIX = 'lease-';
 
 const STATUSES: Readonly<Record<StoreError['kind'], number>> = {
   ...{ unavailable: 503, conflict: 412, leaseGone: 404 },
@@ -78,6 +85,6 @@
   };
 }
 
-function itemOf({ key, value, revision }: StoreItem) {
+function encodeItem({ key, value, revision }: StoreItem) {
   return { key, value: Buffer.from(value).toString('base64'), revision };
 }
--- a/tools/soak/main.ts
+++ b/tools/soak/main.ts
@@ -20,19 +20,24 @@
 
 const cli = cac('soak');
 cli
-  .command('', 'Run the real processes of both roles under faults and check what was promised')
+  .command('', 'Run real entries and sidecars under faults and check their guarantees')
   .option('--seed <number>', 'Seed of the faults and of the jobs', { default: 1 })
-  .option('--seconds <number>', 'How long faults go on', { default: 60 })
+  .option('--seconds <number>', 'Duration of the faults', { default: 60 })
   .option('--entries <number>', 'Entries', { default: 3 })
-  .option('--sidecars <number>', 'Sidecars, each with its backend server', { default: 6 })
-  .option('--callers <number>', 'Callers at once', { default: 12 })
-  .option('--ways <names>', 'Ways in which some jobs are sent, of the names in sendingWays', {
+  .option('--sidecars <number>', 'Sidecars, each with a backend server', { default: 6 })
+  .option('--callers <number>', 'Concurrent callers', { default: 12 })
+  .option('--ways <names>', 'Ways in which some jobs are sent, from sendingWays', {
     default: 'at-once,abandon,hedge,half-open,duplicate',
   })
-  .option('--one-in <number>', 'Of how many jobs one is sent so, on average', { default: 6 })
-  .option('--faults <file>', 'A JSON list of faults instead of those of the seed')
-  .option('--bundles <folder>', 'Bundles that were built before, such as those of older code')
-  .option('--out <folder>', 'Keep lines, faults and findings here when a promise was broken')
+  .option('--one-in <number>', 'One in this many jobs is sent in such a way, on average', {
+    default: 6,
+  })
+  .option('--faults <file>', 'A JSON list of faults to use instead of those drawn from the seed')
+  .option('--bundles <folder>', 'Prebuilt bundles, for example of an older version')
+  .option(
+    '--out <folder>',
+    'Where to write log lines, faults and findings if a guarantee was violated',
+  )
   .action(run);
 cli.help();
 cli.parse();
@@ -52,11 +57,11 @@
   findings.forEach(({ atMs, kind, what }) =>
     print(`  at ${atMs} ms: ${kind}: ${what.slice(0, 400)}`),
   );
-  print(findings.length === 0 ? 'All promises were kept.' : 'A promise was broken.');
+  print(findings.length === 0 ? 'All guarantees held.' : 'A guarantee was violated.');
   process.exit(findings.length === 0 ? 0 : 1);
 }
 
 function readWay(name: string): SendingWay {
   if (name in sendingWays) return name as SendingWay;
-  throw new Error(`no way to send a job is called ${name}`);
+  throw new Error(`unknown way to send a job: ${name}`);
 }
--- a/tools/soak/planFaults.ts
+++ b/tools/soak/planFaults.ts
@@ -1,27 +1,30 @@
 import type Random from '../../src/core/Random';
 import type Fault from './Fault';
 
-interface Shape {
+interface PlanOptions {
   readonly entries: readonly string[];
   readonly sidecars: readonly string[];
-  /** When the last fault has ended at the latest, ms. */
+  /** All faults end by this time, ms since the start of the run. */
   readonly endMs: number;
 }
 
-/** Draws what goes wrong in a run: series of the same fault, and faults that overlap. */
-export default function planFaults(random: Random, { entries, sidecars, endMs }: Shape): Fault[] {
+/** Draws the faults of a run: single faults and series of the same fault, which may overlap. */
+export default function planFaults(
+  random: Random,
+  { entries, sidecars, endMs }: PlanOptions,
+): Fault[] {
   const faults: Fault[] = [];
-  let atMs = FIRST_MS;
-  while (atMs < endMs - LEAST_MS) {
+  let atMs = FIRST_FAULT_MS;
+  while (atMs < endMs - MIN_GAP_MS) {
     const kind = KINDS[random.below(KINDS.length)]!;
-    const times = random.below(4) === 0 ? 2 + random.below(3) : 1;
+    const count = random.below(4) === 0 ? 2 + random.below(3) : 1;
     let beginMs = atMs;
-    for (let time = 0; time < times && beginMs < endMs - LEAST_MS; time += 1) {
-      const forMs = Math.min(endMs - beginMs, draw(random, LASTS[kind]));
+    for (let index = 0; index < count && beginMs < endMs - MIN_GAP_MS; index += 1) {
+      const forMs = Math.min(endMs - beginMs, draw(random, DURATIONS_MS[kind]));
       faults.push({ kind, atMs: beginMs, forMs, ...detailsOf(random, kind, entries, sidecars) });
-      beginMs += LEAST_MS + random.below(SERIES_MS);
+      beginMs += MIN_GAP_MS + random.below(MAX_SERIES_GAP_MS);
     }
-    atMs += LEAST_MS + random.below(GAP_MS);
+    atMs += MIN_GAP_MS + random.below(MAX_GAP_MS);
   }
   return faults.sort((one, other) => one.atMs - other.atMs);
 }
@@ -33,36 +36,41 @@
   sidecars: readonly string[],
 ): Omit<Fault, 'kind' | 'atMs' | 'forMs'> {
   const all = [...entries, ...sidecars];
-  const one = (names: readonly string[]): string => names[random.below(names.length)]!;
-  if (kind === 'crash' || kind === 'restart') return { target: one(sidecars) };
-  if (kind === 'hang-up') return { target: one(entries) };
-  if (!OF_LINKS.has(kind)) return { target: random.below(2) === 0 ? one(entries) : one(all) };
-  const target = one(entries);
-  const from = random.below(2) === 0 ? one(all.filter((name) => name !== target)) : undefined;
+  const pick = (names: readonly string[]): string => names[random.below(names.length)]!;
+  if (kind === 'crash' || kind === 'restart') return { target: pick(sidecars) };
+  if (kind === 'hang-up') return { target: pick(entries) };
+  if (!LINK_FAULTS.has(kind)) return { target: random.below(2) === 0 ? pick(entries) : pick(all) };
+  const target = pick(entries);
+  const from = random.below(2) === 0 ? pick(all.filter((name) => name !== target)) : undefined;
   const sides = [['near'], ['far'], ['near', 'far']][random.below(3)] as Fault['sides'];
   const [alsoNew, endsByReset] = [random.below(3) === 0, random.below(3) > 0];
-  return { target, from, sides, alsoNew, endsByReset, ms: 10 + random.below(DELAY_MS) };
+  return { target, from, sides, alsoNew, endsByReset, ms: 10 + random.below(MAX_ADDED_DELAY_MS) };
 }
 
 function draw(random: Random, [least, most]: readonly [number, number]): number {
   return least + random.below(most - least);
 }
 
-const FIRST_MS = 2_500;
+/** When the first fault starts, ms since the start of the run. */
+const FIRST_FAULT_MS = 2_500;
 
-/** Mean pause between faults is some half of this, ms, and between those of a series of that. */
-const GAP_MS = 1_600;
+/** Maximum pause between faults beyond MIN_GAP_MS, ms. */
+const MAX_GAP_MS = 1_600;
 
-const SERIES_MS = 1_500;
+/** Maximum pause between the starts of the faults of a series beyond MIN_GAP_MS, ms. */
+const MAX_SERIES_GAP_MS = 1_500;
 
-const LEAST_MS = 100;
+/** Minimum pause between faults, and minimum time before the end of the run, ms. */
+const MIN_GAP_MS = 100;
 
-const DELAY_MS = 300;
+/** Maximum added delay beyond 10 ms, ms. */
+const MAX_ADDED_DELAY_MS = 300;
 
-const OF_LINKS: ReadonlySet<Fault['kind']> = new Set(['silence', 'cut', 'reset', 'delay']);
+/** Faults of connections between processes. */
+const LINK_FAULTS: ReadonlySet<Fault['kind']> = new Set(['silence', 'cut', 'reset', 'delay']);
 
-/** How long each fault may last, ms; a silence outlasts the time after which a session is given up. */
-const LASTS: Readonly<Record<Fault['kind'], readonly [number, number]>> = {
+/** Shortest and longest duration of each fault, ms; a long silence outlasts the time-out of a session. */
+const DURATIONS_MS: Readonly<Record<Fault['kind'], readonly [number, number]>> = {
   silence: [1_000, 40_000],
   cut: [200, 8_000],
   reset: [100, 200],
@@ -73,7 +81,7 @@
   reload: [100, 200],
   'hang-up': [100, 200],
   crash: [100, 3_000],
-  // An order that waits longer for the next life than its lease is told as over.
+  // A start request that waits for the restart for longer than its lease is reported as ended.
   restart: [50, 600],
   flood: [3_000, 15_000],
   'store-down': [500, 8_000],
@@ -82,5 +90,10 @@
   'store-cut': [500, 10_000],
 };
 
-/** The kinds to draw from; the connections between processes are what most goes wrong. */
-const KINDS = [...(Object.keys(LASTS) as Fault['kind'][]), 'silence', 'silence', 'cut'] as const;
+/** The kinds to draw from; faults of connections are repeated because they are the most frequent in practice. */
+const KINDS = [
+  ...(Object.keys(DURATIONS_MS) as Fault['kind'][]),
+  'silence',
+  'silence',
+  'cut',
+] as const;
--- a/tools/soak/runSoak.ts
+++ b/tools/soak/runSoak.ts
@@ -10,28 +10,28 @@
 import type Fault from './Fault';
 import planFaults from './planFaults';
 import SoakCaller from './SoakCaller';
-import strike from './strike';
+import applyFault from './applyFault';
 import type UnusualSendings from './UnusualSendings';
 import World from './World';
 
 interface SoakOptions {
   readonly seed: number;
-  /** How long faults go on, and callers at the least, s. */
+  /** Duration of the faults, s; callers run at least this long. */
   readonly seconds: number;
   readonly entries: number;
   readonly sidecars: number;
   readonly callers: number;
-  /** How callers send some of the jobs; all are sent once when left out. */
+  /** How callers send some of the jobs; if absent, each is sent to one entry at a time. */
   readonly unusual?: UnusualSendings;
-  /** What goes wrong, instead of what the seed draws. */
+  /** The faults; drawn from the seed if absent. */
   readonly faults?: readonly Fault[];
-  /** Where bundles lie that were built before, instead of those of the code as it is. */
+  /** Folder of prebuilt bundles; the current code is built if absent. */
   readonly bundles?: string;
-  /** Where the lines, the faults and the findings are kept when a promise was broken. */
+  /** Folder to write log lines, faults and findings to if a guarantee was violated. */
   readonly out?: string;
 }
 
-/** Runs the real processes under faults and returns what was seen; everything has ended then. */
+/** Runs real processes under faults; resolves to the checker once all of them have ended. */
 export default async function runSoak(opts: SoakOptions): Promise<Checker> {
   const timer = SystemTimer.create();
   const random = Random.fromSeed(opts.seed);
@@ -40,23 +40,24 @@
   if (!opts.bundles) execFileSync(process.execPath, ['scripts/buildPlatform.mjs', bundles]);
   const { entries, sidecars, seconds } = opts;
   const checker = Checker.create(timer);
-  // What the seed decides is drawn before anything runs, so that it does not depend on when things happen.
+  // Faults are drawn before anything runs, so that they depend on the seed only and not on the timing.
   const names = (role: string, count: number): string[] =>
     [...Array(count).keys()].map((number) => `${role}-${number + 1}`);
   const shape = { entries: names('entry', entries), sidecars: names('sidecar', sidecars) };
   const faults = opts.faults ?? planFaults(random, { ...shape, endMs: seconds * 1_000 });
   const world = await World.start({ timer, random, checker, entries, sidecars, bundles, folder });
   try {
-    await disturb(world, checker, timer, random, faults, opts);
+    await runUnderFaults(world, checker, timer, random, faults, opts);
   } finally {
     await world.close();
     rmSync(folder, { recursive: true });
   }
-  if (checker.findings.length > 0 && opts.out !== undefined) keep(opts.out, world, checker, faults);
+  if (checker.findings.length > 0 && opts.out !== undefined)
+    saveResults(opts.out, world, checker, faults);
   return checker;
 }
 
-async function disturb(
+async function runUnderFaults(
   world: World,
   checker: Checker,
   timer: TimerService,
@@ -67,56 +68,59 @@
   const stop = new AbortController();
   setMaxListeners(0, stop.signal);
   const { entries } = world;
-  // Callers keep to the entry they reach, so each entry has one that knows no other.
-  const reached = [
-    ...Array<typeof world.callers>(opts.callers).fill(world.callers),
-    ...[...world.callers].map((each) => new Map([each])),
+  // Callers stay with the entry they reach, so each entry gets one more caller that knows only this entry.
+  const reachable = [
+    ...Array<typeof world.callerAddresses>(opts.callers).fill(world.callerAddresses),
+    ...[...world.callerAddresses].map((each) => new Map([each])),
   ];
-  const callers = reached.map((known, number) => {
+  const callers = reachable.map((known, number) => {
     const own = Random.fromSeed(opts.seed * 1_000 + number);
-    const chance = Random.fromSeed(opts.seed * 1_000 + WAYS + number);
-    const note = (text: string): void => world.note(text);
+    const wayRandom = Random.fromSeed(opts.seed * 1_000 + WAY_SEED_OFFSET + number);
+    const logLine = (text: string): void => world.logLine(text);
     const { unusual } = opts;
     const { connections } = world;
-    const common = { timer, checker, entries: known, unusual, connections, note };
-    return SoakCaller.run({ ...common, random: own, chance }, stop.signal);
+    const common = { timer, checker, entries: known, unusual, connections, logLine };
+    return SoakCaller.run({ ...common, random: own, wayRandom }, stop.signal);
   });
   const changes = world.changeConfiguration(stop.signal);
-  const strikes = faults.map(async (fault) => {
+  const injections = faults.map(async (fault) => {
     await timer.sleep(fault.atMs);
-    const end = strike(world, fault, checker);
+    const end = applyFault(world, fault, checker);
     await timer.sleep(fault.forMs);
     end();
   });
-  await Promise.all([...strikes, timer.sleep(opts.seconds * 1_000)]);
-  await world.settle(SETTLE_MS);
+  await Promise.all([...injections, timer.sleep(opts.seconds * 1_000)]);
+  await world.waitUntilRunning(SETTLE_MS);
   const lastFaultAt = timer.now();
-  world.note('the last fault has ended');
-  while (!checker.servesSince(entries, lastFaultAt) && timer.now() < lastFaultAt + SERVED_MS) {
+  world.logLine('the last fault has ended');
+  while (
+    !checker.haveServedSince(entries, lastFaultAt) &&
+    timer.now() < lastFaultAt + MAX_RECOVERY_MS
+  ) {
     await timer.sleep(100);
   }
   stop.abort();
   await Promise.all([...callers, changes]);
-  await timer.sleep(LAPSE_MS);
-  checker.finish(entries, lastFaultAt);
+  await timer.sleep(LEASE_EXPIRY_MS);
+  checker.checkAtEnd(entries, lastFaultAt);
 }
 
-function keep(out: string, world: World, checker: Checker, faults: readonly Fault[]): void {
+function saveResults(out: string, world: World, checker: Checker, faults: readonly Fault[]): void {
   mkdirSync(out, { recursive: true });
   const write = (name: string, text: string): void => writeFileSync(path.join(out, name), text);
-  write('lines.log', `${world.lines.join('\n')}\n`);
+  write('lines.log', `${world.logLines.join('\n')}\n`);
   write('faults.json', JSON.stringify(faults, undefined, 1));
   write('findings.json', JSON.stringify(checker.findings, undefined, 1));
 }
 
-/** Offset of the seeds that decide how jobs are sent, so that the jobs do not depend on it. */
-const WAYS = 500;
+/** Offset of the seeds that decide how jobs are sent, so that the jobs don't depend on how they are sent. */
+const WAY_SEED_OFFSET = 500;
 
-/** Until all processes run again after the last fault, ms: a planned stop takes up to 7 s. */
+/** All processes run again within this time after the last fault, ms: a graceful shutdown takes up to 7 s. */
 const SETTLE_MS = 15_000;
 
-/** After the last fault, each entry has to serve within this time, ms. */
-const SERVED_MS = 12_000;
+/** Each entry has to serve again within this time after the last fault, ms. */
+const MAX_RECOVERY_MS = 12_000;
 
-/** After the last answer, whatever still runs ends with its lease, ms. */
-const LAPSE_MS = 2_000;
+/** Runs left after the last answer end with their lease within this time, ms. */
+const LEASE_EXPIRY_MS = 2_000;
--- a/tools/soak/sendingWays.ts
+++ b/tools/soak/sendingWays.ts
@@ -5,77 +5,77 @@
 import RESEND_MS from './RESEND_MS';
 import type Sending from './Sending';
 
-interface Circumstances {
+interface SendContext {
   readonly timer: TimerService;
   readonly random: Random;
   readonly sender: JobSender;
 }
 
-/** Sends a job in one way, at one entry or more; resolves to what its caller makes of it. */
-type Send = (job: Job, circumstances: Circumstances) => Promise<Sending>;
+/** Sends a job to one or more entries; resolves to the result that its caller uses. */
+type Send = (job: Job, context: SendContext) => Promise<Sending>;
 
-/** The ways in which callers send a job; what needs it is sent again after a pause. */
+/** The ways in which callers send a job; a failed one is sent again by its caller after a pause. */
 const sendingWays = {
   /** To one entry. */
   once: (job, { sender }) => sender.send(job),
 
-  /** To one entry, and at once to another when the connection breaks. */
+  /** To one entry, and almost at once to another if the connection breaks. */
   'at-once': async (job, { timer, random, sender }) => {
     const sending = await sender.send(job);
     if (sending.status !== 0 || sending.isUnsent) return sending;
-    await timer.sleep(random.below(AT_ONCE_MS));
-    await sender.close(sender.keep(sender.elsewhere()));
+    await timer.sleep(random.below(MAX_AT_ONCE_PAUSE_MS));
+    await sender.close(sender.switchTo(sender.connectElsewhere()));
     return sender.send(job);
   },
 
-  /** The caller closes its connection when it has no answer soon, and sends the job to another entry at once. */
+  /** If no answer arrives soon, the caller closes its connection and sends the job to another entry at once. */
   abandon: async (job, { timer, random, sender }) => {
-    const gone = new AbortController();
-    const patience = timer.after(1 + random.below(PATIENCE_MS), () => gone.abort());
-    const sending = await sender.send(job, sender.connection, gone.signal);
-    patience.cancel();
-    if (!gone.signal.aborted || sending.status !== 0) return sending;
-    await sender.close(sender.keep(sender.elsewhere()));
+    const cancel = new AbortController();
+    const timeout = timer.after(1 + random.below(MAX_SWITCH_DELAY_MS), () => cancel.abort());
+    const sending = await sender.send(job, sender.connection, cancel.signal);
+    timeout.cancel();
+    if (!cancel.signal.aborted || sending.status !== 0) return sending;
+    await sender.close(sender.switchTo(sender.connectElsewhere()));
     return sender.send(job);
   },
 
-  /** A copy to another entry when there is no answer soon; the first answer counts, the other connection is closed. */
+  /** If no answer arrives soon, a duplicate goes to another entry; the first answer counts, the other connection is closed. */
   hedge: async (job, { timer, random, sender }) => {
-    const connections = [sender.connection, sender.elsewhere()] as const;
-    const gone = connections.map(() => new AbortController());
+    const connections = [sender.connection, sender.connectElsewhere()] as const;
+    const cancel = connections.map(() => new AbortController());
     const send = (index: 0 | 1): Promise<Sending> =>
-      sender.send(job, connections[index], gone[index]!.signal);
+      sender.send(job, connections[index], cancel[index]!.signal);
     const first = send(0);
-    const patience = timer.sleep(1 + random.below(PATIENCE_MS));
-    const early = await Promise.race([first, patience]);
+    const delay = timer.sleep(1 + random.below(MAX_SWITCH_DELAY_MS));
+    const early = await Promise.race([first, delay]);
     if (early) {
       await sender.close(connections[1]);
       return early;
     }
     const both = [first, send(1)] as const;
     const winner = await firstAnswered(both);
-    gone[1 - winner]!.abort();
+    cancel[1 - winner]!.abort();
     const sendings = await Promise.all(both);
-    sender.keep(connections[winner]);
+    sender.switchTo(connections[winner]);
     await sender.close(connections[1 - winner]!);
     return sendings[winner];
   },
 
-  /** The connection breaks for the caller alone: its entry goes on, and another gets the job after the usual pause. */
+  /** The connection breaks for the caller only: its entry continues, and another gets the job after the usual pause. */
   'half-open': async (job, { timer, random, sender }) => {
     const first = sender.send(job);
-    const early = await Promise.race([first, timer.sleep(1 + random.below(PATIENCE_MS))]);
+    const early = await Promise.race([first, timer.sleep(1 + random.below(MAX_SWITCH_DELAY_MS))]);
     if (early) return early;
-    const lost = sender.keep(sender.elsewhere());
+    const former = sender.switchTo(sender.connectElsewhere());
     await timer.sleep(RESEND_MS);
     const [sending] = await Promise.all([sender.send(job), first]);
-    await sender.close(lost);
+    await sender.close(former);
     return sending;
   },
 
-  /** Two copies to two entries at the same moment; both are waited for. */
+  /** Sent to two entries at the same time; the caller waits for both answers. */
   duplicate: async (job, { sender }) => {
-    const second = sender.elsewhere();
+    const second = sender.connectElsewhere();
     const sendings = [sender.send(job), sender.send(job, second)];
     const answers = await Promise.all(sendings);
     await sender.close(second);
@@ -84,7 +84,7 @@
 } satisfies Readonly<Record<string, Send>>;
 export default sendingWays;
 
-/** Which of two sendings is answered first; the first when neither is. */
+/** Index of the request that is answered first; 0 if neither is answered. */
 async function firstAnswered(
   sendings: readonly [Promise<Sending>, Promise<Sending>],
 ): Promise<0 | 1> {
@@ -96,8 +96,8 @@
   return Promise.any(answered).catch(() => 0 as const);
 }
 
-/** Pause before a job is sent again at once, ms, at the most. */
-const AT_ONCE_MS = 31;
+/** Exclusive upper limit of the pause before `at-once` sends a job again, ms. */
+const MAX_AT_ONCE_PAUSE_MS = 31;
 
-/** Longest time after which a caller without an answer turns to another entry as well or instead, ms. */
-const PATIENCE_MS = 400;
+/** Longest time that a caller waits for an answer before it uses another entry as well or instead, ms. */
+const MAX_SWITCH_DELAY_MS = 400;
