--- a/tools/leasedBackend/LeasedBackend.ts
+++ b/tools/leasedBackend/LeasedBackend.ts
@@ -10,16 +10,16 @@
 import taskKey from '../../src/runs/taskKey';
 import Resources from '../../src/room/Resources';
 
-/** How a call to the stand-in goes wrong; each applies to one call of the kind named. */
+/** A fault of one call to the simulated backend server. */
 interface CallFault {
   readonly call: 'start' | 'stop' | 'hold';
-  /** `lost`: carried out, not answered. `dropped`: neither. `late`: not answered, carried out after `lateMs`. */
+  /** `lost`: carried out, but not answered. `dropped`: neither. `late`: not answered, and carried out after `lateMs`. */
   readonly how: 'lost' | 'dropped' | 'late';
   readonly lateMs?: number;
 }
 
-/** How a task goes: its time, and whether it then fails or takes the backend server with it. */
-interface TaskWork {
+/** Duration of a task, and whether it then fails or crashes the backend server. */
+interface TaskResult {
   readonly ms: number;
   readonly fails: boolean;
   readonly crashes?: boolean;
@@ -28,16 +28,16 @@
 interface LeasedBackendOptions {
   readonly timer: TimerService;
   readonly id?: string;
-  /** When its first life started, ms since 1970, if it tells. */
+  /** Start time of its first incarnation, ms since 1970; not reported if absent. */
   readonly born?: number;
   readonly service?: string;
   readonly capacity?: Resources;
   readonly labels?: readonly string[];
-  /** How a task's work goes: how long it takes and whether it fails. The spec says, unless this does. */
-  readonly work?: (run: RunId, spec: string) => TaskWork;
-  /** Told when a task has crashed it. */
+  /** Decides the duration and the result of a task; by default the spec is the duration, ms. */
+  readonly work?: (run: RunId, spec: string) => TaskResult;
+  /** Called when the backend server crashes. */
   readonly crashed?: () => void;
-  /** Told of each start that was carried out, and of the end of each run and its reason, also by a crash. */
+  /** Called on each start that is carried out, and on the end of each run with its reason, including by a crash. */
   readonly ran?: (
     what: 'started' | 'done' | 'failed' | 'lost',
     run: RunId,
@@ -45,7 +45,7 @@
   ) => void;
 }
 
-interface Running {
+interface ActiveRun {
   readonly run: RunId;
   readonly ms: number;
   readonly startedAt: number;
@@ -53,22 +53,23 @@
 }
 
 /**
- * A stand-in for one life of a backend server that runs tasks under a lease: fencing tokens, attempt
- * numbers that only rise, ends listed until they are acknowledged, calls that are lost or carried out
- * late. It never refuses for want of room, as the users' do, and notes when it was overfilled.
+ * Simulates an incarnation of a backend server that runs tasks under a lease: fencing tokens, increasing
+ * attempt numbers, ends listed until they are acknowledged, and calls that are lost or carried out late.
+ * Unlike the users' backend servers it never refuses a start for lack of capacity; `busiest` shows whether it
+ * was overloaded.
  */
 export default class LeasedBackend implements BackendRunClient {
   /** Every start that was carried out, in order. */
   readonly starts: RunId[] = [];
 
-  /** Most that ran at once. */
+  /** Maximum number of concurrent runs. */
   busiest = 0;
 
-  private readonly running = new Map<string, Running>();
+  private readonly activeRuns = new Map<string, ActiveRun>();
 
-  private readonly highest = new Map<string, number>();
+  private readonly highestAttempts = new Map<string, number>();
 
-  private ends: BackendPollResult['ended'][number][] = [];
+  private unacknowledgedEnds: BackendPollResult['ended'][number][] = [];
 
   private endCount = 0;
 
@@ -76,37 +77,38 @@
 
   private leaseUntil = 0;
 
-  private lease: Subscription | undefined;
+  private leaseTimer: Subscription | undefined;
 
   private readonly faults: CallFault[] = [];
 
-  private readonly waiters = new Set<() => void>();
+  private readonly waitingPolls = new Set<() => void>();
 
-  /** Refuses starts for this reason, as an unwell backend server does. */
+  /** Starts are refused for this reason if set, as by an unhealthy backend server. */
   refusing: BackendRefusal | undefined;
 
-  private fate: 'alive' | 'silent' | 'resetting' | 'gone' | 'replaced' = 'alive';
+  private state: 'alive' | 'silent' | 'resetting' | 'gone' | 'replaced' = 'alive';
 
-  /** Calls that came while it reset connections. */
+  /** Number of calls that arrived while it reset connections. */
   resets = 0;
 
   private sequence = 0;
 
-  /** When its life started, by the timer, and as it tells, if it does. */
+  /** Start of the current incarnation, by the timer, ms. */
   private startedAt = 0;
 
+  /** The start time that it reports, ms since 1970; undefined if it reports none. */
   private born: number | undefined;
 
   private constructor(private readonly opts: LeasedBackendOptions) {
     this.born = opts.born;
   }
 
-  /** Creates a backend server on which nothing runs. */
+  /** Creates a backend server without runs. */
   static create(opts: LeasedBackendOptions): LeasedBackend {
     return new LeasedBackend(opts);
   }
 
-  /** Its next heartbeat. */
+  /** Builds the next heartbeat. */
   report(change: Partial<BackendHeartbeat> = {}): BackendHeartbeat {
     const { id = 'b1', service = 'booking', labels = [] } = this.opts;
     const { capacity = Resources.of({ cpuMilli: 16_000, memoryMb: 4_096 }) } = this.opts;
@@ -122,58 +124,58 @@
     };
   }
 
-  /** Names of the tasks that run now. */
+  /** Keys of the running tasks, sorted. */
   get tasks(): readonly string[] {
-    return [...this.running.keys()].sort();
+    return [...this.activeRuns.keys()].sort();
   }
 
-  /** Makes the next call of a kind go wrong. */
+  /** Applies a fault to the next call of its kind. */
   fail(fault: CallFault): void {
     this.faults.push(fault);
   }
 
-  /** From now on it answers nothing, and what runs goes on to the end of its lease. */
+  /** Stops answering calls; runs continue until their lease expires. */
   fallSilent(): void {
-    this.fate = 'silent';
+    this.state = 'silent';
   }
 
-  /** From now on it takes connections and resets them, and what runs goes on. */
+  /** Accepts and resets connections from now on; runs continue. */
   resetConnections(): void {
-    this.fate = 'resetting';
+    this.state = 'resetting';
   }
 
-  /** It answers again. */
+  /** Answers calls again. */
   speak(): void {
-    this.fate = 'alive';
+    this.state = 'alive';
   }
 
-  /** Its process is gone: connections are refused and nothing runs. */
+  /** Ends the process: connections are refused and all runs are lost. */
   crash(): void {
-    if (this.fate === 'gone') return;
-    this.fate = 'gone';
+    if (this.state === 'gone') return;
+    this.state = 'gone';
     this.opts.crashed?.();
-    this.waiters.forEach((wake) => wake());
-    this.killAll();
+    this.waitingPolls.forEach((wake) => wake());
+    this.loseAllRuns();
   }
 
-  /** Another life is at its address: calls for this one are turned away and nothing of it runs. */
+  /** Simulates another incarnation at its address: calls for this one are rejected and its runs are lost. */
   replace(): void {
-    this.fate = 'replaced';
-    this.killAll();
+    this.state = 'replaced';
+    this.loseAllRuns();
   }
 
   /**
-   * It starts again under its id: nothing of before is there, and what was under way to it may still arrive. The clock by
-   * which it tells its start may have been set back meanwhile, by so many ms.
+   * Restarts under the same id without any former state; calls that are still in transit may arrive afterwards. The clock
+   * of the reported start time is set back by `setBackMs`.
    */
   restart(setBackMs = 0): void {
-    this.killAll();
-    this.waiters.forEach((wake) => wake());
+    this.loseAllRuns();
+    this.waitingPolls.forEach((wake) => wake());
     this.startedAt = this.opts.timer.now();
     this.born = (this.opts.born ?? 0) + this.startedAt - setBackMs;
-    this.fate = 'alive';
-    this.highest.clear();
-    this.ends = [];
+    this.state = 'alive';
+    this.highestAttempts.clear();
+    this.unacknowledgedEnds = [];
     this.endCount = 0;
     this.token = 0;
     this.leaseUntil = 0;
@@ -192,12 +194,12 @@
 
   stop(run: RunId, token: number, timeoutMs: number): ResultAsync<void, BackendRunFailure> {
     return this.call('stop', timeoutMs, () => {
-      if (!this.passes(token)) return;
+      if (!this.acceptsToken(token)) return;
       const key = taskKey(run);
-      this.highest.set(key, Math.max(this.highest.get(key) ?? 0, run.attempt));
-      const running = this.running.get(key);
+      this.highestAttempts.set(key, Math.max(this.highestAttempts.get(key) ?? 0, run.attempt));
+      const running = this.activeRuns.get(key);
       if (running?.run.attempt === run.attempt) {
-        this.opts.timer.after(STOP_MS, () => this.end(key, running, 'lost', 'stopped'));
+        this.opts.timer.after(STOP_MS, () => this.endRun(key, running, 'lost', 'stopped'));
       }
     });
   }
@@ -210,28 +212,28 @@
     leaseUntil?: number,
   ): ResultAsync<BackendPollResult, BackendRunFailure> {
     return this.call('hold', waitMs + timeoutMs, () => {
-      if (this.passes(token) && leaseUntil !== undefined) this.renew(leaseUntil);
-      this.ends = this.ends.filter(({ number }) => number > seenEnd);
+      if (this.acceptsToken(token) && leaseUntil !== undefined) this.renewLease(leaseUntil);
+      this.unacknowledgedEnds = this.unacknowledgedEnds.filter(({ number }) => number > seenEnd);
     }).andThen(() => new ResultAsync(this.waitForEnd(waitMs)));
   }
 
   private async waitForEnd(waitMs: number): Promise<Result<BackendPollResult, BackendRunFailure>> {
     const { born } = this;
-    if (waitMs > 0 && this.ends.length === 0) {
+    if (waitMs > 0 && this.unacknowledgedEnds.length === 0) {
       const ended = new AbortController();
       const wake = (): void => ended.abort();
-      this.waiters.add(wake);
+      this.waitingPolls.add(wake);
       await this.opts.timer.sleep(waitMs, ended.signal);
-      this.waiters.delete(wake);
+      this.waitingPolls.delete(wake);
     }
-    if (this.fate !== 'alive' || this.born !== born) return err(unanswered);
+    if (this.state !== 'alive' || this.born !== born) return err(unanswered);
     return ok({
       ...(born === undefined ? {} : { born }),
-      running: [...this.running.values()].map(({ run, ms, startedAt }) => ({
+      running: [...this.activeRuns.values()].map(({ run, ms, startedAt }) => ({
         run,
         percent: Math.min(PERCENT, Math.floor(((this.clock() - startedAt) * PERCENT) / ms)),
       })),
-      ended: [...this.ends],
+      ended: [...this.unacknowledgedEnds],
     });
   }
 
@@ -240,19 +242,19 @@
     timeoutMs: number,
     carryOut: () => T,
   ): ResultAsync<T, BackendRunFailure> {
-    if (this.fate === 'gone') return errAsync({ kind: 'closed', reason: 'connection refused' });
-    if (this.fate === 'resetting') {
+    if (this.state === 'gone') return errAsync({ kind: 'closed', reason: 'connection refused' });
+    if (this.state === 'resetting') {
       this.resets += 1;
       return errAsync({ kind: 'unanswered', reason: 'connection reset' });
     }
-    if (this.fate === 'replaced') return errAsync({ kind: 'replaced', reason: 'another life' });
+    if (this.state === 'replaced') return errAsync({ kind: 'replaced', reason: 'another life' });
     const at = this.faults.findIndex(({ call }) => call === kind);
     const [fault] = at < 0 ? [] : this.faults.splice(at, 1);
-    if (this.fate === 'silent' || fault) {
+    if (this.state === 'silent' || fault) {
       if (fault?.how === 'lost') carryOut();
       if (fault?.how === 'late') {
         this.opts.timer.after(fault.lateMs ?? LATE_MS, () => {
-          if (this.fate !== 'gone') carryOut();
+          if (this.state !== 'gone') carryOut();
         });
       }
       const answer = this.opts.timer.sleep(timeoutMs).then(() => err(unanswered));
@@ -267,70 +269,71 @@
     leaseUntil: number,
     token: number,
   ): BackendRefusal | 'started' {
-    if (!this.passes(token)) return 'fenced';
+    if (!this.acceptsToken(token)) return 'fenced';
     if (this.refusing) return this.refusing;
     const key = taskKey(run);
-    if (this.running.get(key)?.run.attempt === run.attempt) return 'started';
-    if (run.attempt <= (this.highest.get(key) ?? 0) || this.running.has(key)) return 'spent';
+    if (this.activeRuns.get(key)?.run.attempt === run.attempt) return 'started';
+    if (run.attempt <= (this.highestAttempts.get(key) ?? 0) || this.activeRuns.has(key))
+      return 'spent';
     if (leaseUntil <= this.clock()) return 'late';
-    this.renew(leaseUntil);
-    this.highest.set(key, run.attempt);
+    this.renewLease(leaseUntil);
+    this.highestAttempts.set(key, run.attempt);
     this.starts.push(run);
-    const { ms, fails, crashes } = this.workOf(run, spec);
+    const { ms, fails, crashes } = this.resultOf(run, spec);
     const startedAt = this.clock();
     const end = this.opts.timer.after(ms, () => {
       if (crashes) this.crash();
-      else this.end(key, running, fails ? 'failed' : 'done', fails ? 'failed' : 'done');
+      else this.endRun(key, running, fails ? 'failed' : 'done', fails ? 'failed' : 'done');
     });
-    const running: Running = { run, ms, startedAt, end };
-    this.running.set(key, running);
-    this.busiest = Math.max(this.busiest, this.running.size);
+    const running: ActiveRun = { run, ms, startedAt, end };
+    this.activeRuns.set(key, running);
+    this.busiest = Math.max(this.busiest, this.activeRuns.size);
     this.opts.ran?.('started', run);
     return 'started';
   }
 
-  private workOf(run: RunId, spec: string): TaskWork {
+  private resultOf(run: RunId, spec: string): TaskResult {
     if (this.opts.work) return this.opts.work(run, spec);
     return { ms: Number(spec) || TASK_MS, fails: false };
   }
 
-  private end(
+  private endRun(
     key: string,
-    running: Running,
+    running: ActiveRun,
     how: 'done' | 'failed' | 'lost',
     reason: string,
   ): void {
-    if (this.running.get(key) !== running) return;
+    if (this.activeRuns.get(key) !== running) return;
     running.end.cancel();
-    this.running.delete(key);
+    this.activeRuns.delete(key);
     this.opts.ran?.(how, running.run, reason);
     this.endCount += 1;
-    this.ends.push({ number: this.endCount, run: running.run, how, reason });
-    this.waiters.forEach((wake) => wake());
+    this.unacknowledgedEnds.push({ number: this.endCount, run: running.run, how, reason });
+    this.waitingPolls.forEach((wake) => wake());
   }
 
-  private renew(leaseUntil: number): void {
-    const until = Math.min(leaseUntil, this.clock() + LONGEST_LEASE_MS);
+  private renewLease(leaseUntil: number): void {
+    const until = Math.min(leaseUntil, this.clock() + MAX_LEASE_MS);
     this.leaseUntil = Math.max(this.leaseUntil, until);
-    this.lease?.cancel();
-    this.lease = this.opts.timer.after(this.leaseUntil - this.clock(), () =>
-      [...this.running].forEach(([key, running]) => this.end(key, running, 'lost', 'lapsed')),
+    this.leaseTimer?.cancel();
+    this.leaseTimer = this.opts.timer.after(this.leaseUntil - this.clock(), () =>
+      [...this.activeRuns].forEach(([key, running]) => this.endRun(key, running, 'lost', 'lapsed')),
     );
   }
 
-  private passes(token: number): boolean {
+  private acceptsToken(token: number): boolean {
     if (token < this.token) return false;
     this.token = token;
     return true;
   }
 
-  private killAll(): void {
-    this.running.forEach(({ run, end }) => {
+  private loseAllRuns(): void {
+    this.activeRuns.forEach(({ run, end }) => {
       end.cancel();
       this.opts.ran?.('lost', run, 'crashed');
     });
-    this.running.clear();
-    this.lease?.cancel();
+    this.activeRuns.clear();
+    this.leaseTimer?.cancel();
   }
 
   private clock(): number {
@@ -342,16 +345,17 @@
 
 const PERCENT = 100;
 
-/** Its steady clock counts from some time before its start. */
+/** Reading of its monotonic clock at its start, ms. */
 const CLOCK_START_MS = 50_000;
 
-/** How long a stop takes, ms. */
+/** Time from a stop call to the end of the run, ms. */
 const STOP_MS = 30;
 
-/** How much later a late call is carried out when the fault does not say, ms. */
+/** Default delay of a late call, ms. */
 const LATE_MS = 2_000;
 
-/** How long a task takes when nothing says, ms. */
+/** Default duration of a task, ms. */
 const TASK_MS = 100;
 
-const LONGEST_LEASE_MS = 1_000;
+/** Upper limit of a lease, from its renewal, ms. */
+const MAX_LEASE_MS = 1_000;
