--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -2,12 +2,12 @@
 import HttpStore from '../../src/store/HttpStore';
 import type Store from '../../src/store/Store';
 import Engine from '../../tools/platform/Engine';
-import type Faults from '../../tools/platform/Faults';
+import type StoreFaults from '../../tools/platform/StoreFaults';
 import PlatformServer from '../../tools/platform/PlatformServer';
 import ManualTimer from '../support/ManualTimer';
 import outcome from '../support/outcome';
 
-interface Case {
+interface StoreCase {
   readonly engine: Engine;
   readonly timer: ManualTimer;
   readonly store: Store;
@@ -15,7 +15,7 @@
 
 const cleanups: (() => Promise<void>)[] = [];
 
-const kinds: Record<string, () => Promise<Case>> = {
+const storeCases: Record<string, () => Promise<StoreCase>> = {
   'in process': async () => {
     const timer = ManualTimer.create();
     const engine = Engine.create(timer);
@@ -24,7 +24,7 @@
   'over HTTP': () => httpCase(),
 };
 
-async function httpCase(callsPerSecond = 100): Promise<Case> {
+async function httpCase(callsPerSecond = 100): Promise<StoreCase> {
   const timer = ManualTimer.create();
   const engine = Engine.create(timer);
   const server = PlatformServer.of(engine);
@@ -38,8 +38,8 @@
   return { engine, timer, store };
 }
 
-/** Waits, without moving the clock, until the engine has counted the call. */
-async function counted(engine: Engine, kind: keyof Store, count: number): Promise<void> {
+/** Waits, without advancing the clock, until the engine has counted this many calls. */
+async function waitForCalls(engine: Engine, kind: keyof Store, count: number): Promise<void> {
   await expect.poll(() => engine.calls().a?.[kind]).toBe(count);
 }
 
@@ -47,7 +47,7 @@
   await Promise.all(cleanups.splice(0).map((cleanup) => cleanup()));
 });
 
-describe.each(Object.entries(kinds))('a store %s', (_, create) => {
+describe.each(Object.entries(storeCases))('a store %s', (_, create) => {
   test('writes by compare-and-swap', async () => {
     const { store } = await create();
     expect([
@@ -69,7 +69,7 @@
     `);
   });
 
-  test('deletes the keys of a lapsed lease', async () => {
+  test('deletes the keys of an expired lease', async () => {
     const { store, timer } = await create();
     const lease = await outcome(store.grantLease(3_000));
     await store.put('k', 'v', { lease });
@@ -78,8 +78,8 @@
     await timer.advance(2_000);
     const renewed = await outcome(store.get('k').map((item) => item?.value));
     await timer.advance(1_000);
-    const lapsed = await outcome(store.get('k'));
-    expect([renewed, lapsed, await outcome(store.renewLease(lease))]).toMatchInlineSnapshot(`
+    const expired = await outcome(store.get('k'));
+    expect([renewed, expired, await outcome(store.renewLease(lease))]).toMatchInlineSnapshot(`
       [
         "v",
         "nothing",
@@ -88,19 +88,19 @@
     `);
   });
 
-  test('wakes a watch by a change, and returns it empty when the wait is over', async () => {
+  test('answers a watch on a change, and without changes at its time-out', async () => {
     const { engine, store, timer } = await create();
-    const woken = store.watch('a', 0, 1_000);
-    await counted(engine, 'watch', 1);
+    const changed = store.watch('a', 0, 1_000);
+    await waitForCalls(engine, 'watch', 1);
     await engine.put('b', 'other');
     await engine.put('a', 'v');
-    const first = await outcome(woken);
+    const first = await outcome(changed);
     const deleted = store.watch('a', 2, 1_000);
-    await counted(engine, 'watch', 2);
+    await waitForCalls(engine, 'watch', 2);
     await engine.remove('a');
     const second = await outcome(deleted);
     const idle = store.watch('a', 3, 1_000);
-    await counted(engine, 'watch', 3);
+    await waitForCalls(engine, 'watch', 3);
     await timer.advance(1_000);
     expect([first, second, await outcome(idle)]).toMatchInlineSnapshot(`
       [
@@ -111,7 +111,7 @@
     `);
   });
 
-  test('says unavailable when the answer of a write is lost', async () => {
+  test('fails with unavailable if the answer to a write is lost', async () => {
     const { engine, store } = await create();
     engine.setFaults({ answerLost: true }, 'a');
     const put = await outcome(store.put('k', 'v'));
@@ -123,12 +123,12 @@
     `);
   });
 
-  test('ends waiting watches and keeps leases while it is down', async () => {
+  test('ends pending watches and keeps leases while it is down', async () => {
     const { engine, store, timer } = await create();
     const lease = await outcome(store.grantLease(1_000));
     await store.put('k', 'v', { lease });
     const watch = store.watch('x', 1, 60_000);
-    await counted(engine, 'watch', 1);
+    await waitForCalls(engine, 'watch', 1);
     engine.setFaults({ down: true });
     const broken = await outcome(watch);
     await timer.advance(60_000);
@@ -147,11 +147,11 @@
 });
 
 describe('a store over HTTP', () => {
-  test('gives up after its timeout although the write takes effect', async () => {
+  test('fails at its time-out although the write takes effect', async () => {
     const { engine, store, timer } = await httpCase();
     engine.setFaults({ slowMs: 5_000 });
     const put = store.put('k', 'v');
-    await counted(engine, 'put', 1);
+    await waitForCalls(engine, 'put', 1);
     await timer.advance(2_000);
     const result = await put;
     await timer.advance(3_000);
@@ -168,7 +168,7 @@
     `);
   });
 
-  test('keeps to its rate of calls', async () => {
+  test('limits its rate of calls', async () => {
     const { engine, store, timer } = await httpCase(2);
     const calls = Array.from({ length: 8 }, () => store.get('k'));
     await Promise.all(calls.slice(0, 2));
@@ -183,11 +183,11 @@
     );
   });
 
-  test('ends a watch that its caller gives up', async () => {
+  test('ends a watch that its caller aborts', async () => {
     const { engine, store } = await httpCase();
     const caller = new AbortController();
     const watch = store.watch('', 0, 30_000, caller.signal);
-    await counted(engine, 'watch', 1);
+    await waitForCalls(engine, 'watch', 1);
     caller.abort();
     expect(await watch).toMatchInlineSnapshot(`
       Err {
@@ -199,12 +199,12 @@
     `);
   });
 
-  test('switches faults and reads counts by its own calls', async () => {
+  test('sets faults and reports call counts through HTTP calls', async () => {
     const { engine } = await httpCase();
     const server = PlatformServer.of(engine);
     const url = `http://${await server.listen('127.0.0.1', 0)}`;
     cleanups.push(() => server.close());
-    const faults: Faults & { client: string } = { client: 'b', down: true };
+    const faults: StoreFaults & { client: string } = { client: 'b', down: true };
     await fetch(`${url}/v1/faults`, { method: 'PUT', body: JSON.stringify(faults) });
     const down = await fetch(`${url}/v1/keys/k`, { headers: { 'x-client': 'b' } });
     const up = await fetch(`${url}/v1/keys/k`, { headers: { 'x-client': 'c' } });
--- a/tools/platform/CallCounts.ts
+++ b/tools/platform/CallCounts.ts
@@ -1,5 +1,5 @@
 import type CallKind from './CallKind';
 
-/** Calls made, by kind. Kinds that were never called are absent. */
+/** Number of calls by kind; kinds that were never called are absent. */
 type CallCounts = Partial<Record<CallKind, number>>;
 export type { CallCounts as default };
--- a/tools/platform/CallKind.ts
+++ b/tools/platform/CallKind.ts
@@ -1,5 +1,5 @@
 import type Store from '../../src/store/Store';
 
-/** The kinds of calls that the platform's key-value service counts. */
+/** The kinds of calls that the simulated key-value service counts. */
 type CallKind = keyof Store;
 export type { CallKind as default };
--- a/tools/platform/Engine.ts
+++ b/tools/platform/Engine.ts
@@ -7,34 +7,35 @@
 import type StoreError from '../../src/store/StoreError';
 import type StoreItem from '../../src/store/StoreItem';
 import type CallCounts from './CallCounts';
-import EngineClient from './EngineClient';
-import type Faults from './Faults';
+import SimulatedStoreClient from './SimulatedStoreClient';
+import type StoreFaults from './StoreFaults';
 
 const MAX_VALUE_BYTES = 1_048_576;
 
-const ABORTED: StoreError = { kind: 'unavailable', reason: 'the watch was ended' };
+const WATCH_ABORTED: StoreError = { kind: 'unavailable', reason: 'the watch was ended' };
 
 /**
- * An in-memory stand-in for the platform's key-value service: revisions,
- * compare-and-swap, leases and watches. Its own methods are the store without
- * faults and without counting; processes use the facade that `client` gives.
+ * Simulates the platform's key-value service in memory: revisions,
+ * compare-and-swap, leases and watches. Its own methods access the store without
+ * faults and without counting; processes use the clients that `client` returns.
  */
 export default class Engine implements Store {
-  private readonly items = new Map<string, OwnedItem>();
+  private readonly items = new Map<string, StoredItem>();
 
-  /** Keys that were deleted, each with the revision of its deletion. */
+  /** Deleted keys, each with the revision of its deletion. */
   private readonly tombstones = new Map<string, number>();
 
   private readonly leases = new Map<string, Lease>();
 
-  private readonly waiters = new Set<Waiter>();
+  private readonly pendingWatches = new Set<PendingWatch>();
 
-  private readonly clients = new Map<string, EngineClient>();
+  private readonly clients = new Map<string, SimulatedStoreClient>();
 
-  private readonly clientFaults = new Map<string, Faults>();
+  private readonly clientFaults = new Map<string, StoreFaults>();
 
-  private faults: Faults = {};
+  private faults: StoreFaults = {};
 
+  /** Revision of the latest change. */
   private revision = 0;
 
   private leasesGranted = 0;
@@ -46,11 +47,11 @@
     return new Engine(timer);
   }
 
-  /** The store as one process sees it; the same name gives the same facade. */
-  client(name: string): EngineClient {
-    const known = this.clients.get(name);
-    if (known) return known;
-    const client = EngineClient.of(this, this.timer, () => this.faultsFor(name));
+  /** Access to the store for one process; the same name gives the same client. */
+  client(name: string): SimulatedStoreClient {
+    const existing = this.clients.get(name);
+    if (existing) return existing;
+    const client = SimulatedStoreClient.of(this, this.timer, () => this.faultsFor(name));
     this.clients.set(name, client);
     return client;
   }
@@ -61,11 +62,11 @@
   }
 
   /**
-   * Replaces the faults in force, for one client or for everybody. While the
-   * whole store is down no lease lapses; on its return each has its full time
-   * to live again.
+   * Replaces the active faults, for one client or for all. While the whole store
+   * is down no lease expires; when it is up again, the TTL of each lease restarts
+   * in full.
    */
-  setFaults(faults: Faults, client?: string): void {
+  setFaults(faults: StoreFaults, client?: string): void {
     if (client !== undefined) {
       this.clientFaults.set(client, faults);
       if (faults.down) this.client(client).breakWatches();
@@ -73,13 +74,13 @@
     }
     const wasDown = this.faults.down ?? false;
     this.faults = faults;
-    if (faults.down) this.stop();
-    if (wasDown && !faults.down) this.leases.forEach((lease) => this.arm(lease));
+    if (faults.down) this.goDown();
+    if (wasDown && !faults.down) this.leases.forEach((lease) => this.restartTtl(lease));
   }
 
   get(key: string): ResultAsync<StoreItem | undefined, StoreError> {
     const item = this.items.get(key);
-    return okAsync(item && publicItem(item));
+    return okAsync(item && toStoreItem(item));
   }
 
   list(prefix: string): ResultAsync<StoreChanges, StoreError> {
@@ -91,15 +92,15 @@
     if (Buffer.byteLength(value) > MAX_VALUE_BYTES) {
       return errAsync({ kind: 'unavailable', reason: `the value of ${key} exceeds a megabyte` });
     }
-    const conflict = this.conflict(key, expectRevision);
+    const conflict = this.findConflict(key, expectRevision);
     if (conflict) return errAsync(conflict);
-    if (lease !== undefined && !this.leases.has(lease)) return errAsync(leaseGone(lease));
+    if (lease !== undefined && !this.leases.has(lease)) return errAsync(leaseGoneError(lease));
     this.write(key, value, lease);
     return okAsync(this.revision);
   }
 
   remove(key: string, expectRevision?: number): ResultAsync<void, StoreError> {
-    const conflict = this.conflict(key, expectRevision);
+    const conflict = this.findConflict(key, expectRevision);
     if (conflict) return errAsync(conflict);
     this.erase([key]);
     return okAsync(undefined);
@@ -109,20 +110,20 @@
     this.leasesGranted += 1;
     const lease: Lease = { id: `lease-${this.leasesGranted}`, ttlMs };
     this.leases.set(lease.id, lease);
-    this.arm(lease);
+    this.restartTtl(lease);
     return okAsync(lease.id);
   }
 
   renewLease(id: string): ResultAsync<void, StoreError> {
     const lease = this.leases.get(id);
-    if (!lease) return errAsync(leaseGone(id));
-    this.arm(lease);
+    if (!lease) return errAsync(leaseGoneError(id));
+    this.restartTtl(lease);
     return okAsync(undefined);
   }
 
   revokeLease(id: string): ResultAsync<void, StoreError> {
-    if (!this.leases.has(id)) return errAsync(leaseGone(id));
-    this.end(id);
+    if (!this.leases.has(id)) return errAsync(leaseGoneError(id));
+    this.endLease(id);
     return okAsync(undefined);
   }
 
@@ -134,24 +135,24 @@
   ): ResultAsync<StoreChanges, StoreError> {
     const changes = this.changes(prefix, afterRevision);
     if (changes.items.length > 0 || changes.deleted.length > 0) return okAsync(changes);
-    if (signal?.aborted) return errAsync(ABORTED);
-    return new ResultAsync(this.wait(prefix, afterRevision, waitMs, signal));
+    if (signal?.aborted) return errAsync(WATCH_ABORTED);
+    return new ResultAsync(this.waitForChanges(prefix, afterRevision, waitMs, signal));
   }
 
-  private wait(
+  private waitForChanges(
     prefix: string,
     afterRevision: number,
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<Result<StoreChanges, StoreError>> {
     return new Promise((resolve) => {
-      const waiter: Waiter = { prefix, answer };
+      const watch: PendingWatch = { prefix, answer };
       const timeout = this.timer.after(waitMs, answer);
       signal?.addEventListener('abort', abort, { once: true });
-      this.waiters.add(waiter);
+      this.pendingWatches.add(watch);
 
       const finish = (result: Result<StoreChanges, StoreError>): void => {
-        this.waiters.delete(waiter);
+        this.pendingWatches.delete(watch);
         timeout.cancel();
         signal?.removeEventListener('abort', abort);
         resolve(result);
@@ -161,7 +162,7 @@
         finish(ok(changes()));
       }
       function abort(): void {
-        finish(err(ABORTED));
+        finish(err(WATCH_ABORTED));
       }
     });
   }
@@ -173,10 +174,10 @@
     const deleted = [...this.tombstones]
       .filter(([key, revision]) => key.startsWith(prefix) && revision > after)
       .map(([key]) => key);
-    return { revision: this.revision, items: items.map(publicItem), deleted };
+    return { revision: this.revision, items: items.map(toStoreItem), deleted };
   }
 
-  private conflict(key: string, expected: number | undefined): StoreError | undefined {
+  private findConflict(key: string, expected: number | undefined): StoreError | undefined {
     if (expected === undefined) return undefined;
     const found = this.items.get(key)?.revision ?? 0;
     if (found === expected) return undefined;
@@ -187,7 +188,7 @@
     this.revision += 1;
     this.tombstones.delete(key);
     this.items.set(key, { key, value, revision: this.revision, lease });
-    this.wake([key]);
+    this.notifyWatches([key]);
   }
 
   private erase(keys: readonly string[]): void {
@@ -195,34 +196,34 @@
     if (present.length === 0) return;
     this.revision += 1;
     present.forEach((key) => this.tombstones.set(key, this.revision));
-    this.wake(present);
+    this.notifyWatches(present);
   }
 
-  private wake(keys: readonly string[]): void {
-    [...this.waiters]
-      .filter((waiter) => keys.some((key) => key.startsWith(waiter.prefix)))
-      .forEach((waiter) => waiter.answer());
+  private notifyWatches(keys: readonly string[]): void {
+    [...this.pendingWatches]
+      .filter((watch) => keys.some((key) => key.startsWith(watch.prefix)))
+      .forEach((watch) => watch.answer());
   }
 
-  /** Starts the lease's time to live anew. */
-  private arm(lease: Lease): void {
+  /** Restarts the TTL of a lease. */
+  private restartTtl(lease: Lease): void {
     const target = lease;
-    target.lapse?.cancel();
-    target.lapse = this.timer.after(lease.ttlMs, () => this.end(lease.id));
+    target.expiryTimer?.cancel();
+    target.expiryTimer = this.timer.after(lease.ttlMs, () => this.endLease(lease.id));
   }
 
-  private end(id: string): void {
-    this.leases.get(id)?.lapse?.cancel();
+  private endLease(id: string): void {
+    this.leases.get(id)?.expiryTimer?.cancel();
     this.leases.delete(id);
     this.erase([...this.items.values()].filter(({ lease }) => lease === id).map(({ key }) => key));
   }
 
-  private stop(): void {
-    this.leases.forEach((lease) => lease.lapse?.cancel());
+  private goDown(): void {
+    this.leases.forEach((lease) => lease.expiryTimer?.cancel());
     this.clients.forEach((client) => client.breakWatches());
   }
 
-  private faultsFor(client: string): Faults {
+  private faultsFor(client: string): StoreFaults {
     const own = this.clientFaults.get(client) ?? {};
     return {
       down: this.faults.down || own.down,
@@ -232,25 +233,25 @@
   }
 }
 
-interface OwnedItem extends StoreItem {
+interface StoredItem extends StoreItem {
   readonly lease: string | undefined;
 }
 
 interface Lease {
   readonly id: string;
   readonly ttlMs: number;
-  lapse?: Subscription;
+  expiryTimer?: Subscription;
 }
 
-interface Waiter {
+interface PendingWatch {
   readonly prefix: string;
   readonly answer: () => void;
 }
 
-function publicItem({ key, value, revision }: OwnedItem): StoreItem {
+function toStoreItem({ key, value, revision }: StoredItem): StoreItem {
   return { key, value, revision };
 }
 
-function leaseGone(id: string): StoreError {
+function leaseGoneError(id: string): StoreError {
   return { kind: 'leaseGone', reason: `${id} has lapsed` };
 }
--- a/tools/platform/PlatformCall.ts
+++ b/tools/platform/PlatformCall.ts
@@ -1,19 +1,19 @@
 import type Store from '../../src/store/Store';
 import type Engine from './Engine';
-import type Faults from './Faults';
+import type StoreFaults from './StoreFaults';
 
-/** One call to the stand-in, read from its request. */
-export default interface Call {
+/** A call to the simulated platform, parsed from its HTTP request. */
+export default interface PlatformCall {
   readonly engine: Engine;
-  /** The store as the calling process sees it. */
+  /** Returns the calling process's client of the store. */
   readonly store: () => Store;
   readonly query: URLSearchParams;
   readonly body: CallBody;
-  /** Aborts when the caller has gone. */
+  /** Aborts when the caller closes the connection. */
   readonly signal: AbortSignal;
 }
 
-interface CallBody extends Faults {
+interface CallBody extends StoreFaults {
   readonly value?: string;
   readonly expectRevision?: number;
   readonly lease?: string;
--- a/tools/platform/PlatformServer.ts
+++ b/tools/platform/PlatformServer.ts
@@ -6,7 +6,7 @@
 import type Route from './Route';
 import routes from './routes';
 
-/** Serves the stand-in's engine over HTTP with JSON bodies. */
+/** Serves the simulated store over HTTP with JSON bodies. */
 export default class PlatformServer {
   private constructor(
     private readonly engine: Engine,
@@ -14,7 +14,7 @@
     private readonly served: readonly Route[],
   ) {}
 
-  /** Creates a server that does not listen yet; other routes serve the same store by other calls. */
+  /** Creates a server that does not listen yet; other routes may serve the same store through other calls. */
   static of(engine: Engine, served = routes): PlatformServer {
     const platform = new PlatformServer(engine, createServer(), served);
     platform.server.on('request', (req, res) => {
@@ -23,7 +23,7 @@
     return platform;
   }
 
-  /** Listens and returns the address in use, "ip:port". */
+  /** Listens and returns the bound address, "ip:port". */
   async listen(host: string, port: number): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -33,7 +33,7 @@
     return `${host}:${bound}`;
   }
 
-  /** Breaks all connections and stops listening. */
+  /** Closes all connections and stops listening. */
   async close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -44,8 +44,8 @@
 
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://platform');
-    const gone = new AbortController();
-    res.once('close', () => gone.abort());
+    const disconnected = new AbortController();
+    res.once('close', () => disconnected.abort());
     const body = await text(req);
     const { engine } = this;
     const client = String(req.headers['x-client'] ?? 'unnamed');
@@ -54,14 +54,14 @@
       store: () => engine.client(client),
       query: url.searchParams,
       body: body === '' ? {} : (JSON.parse(body) as PlatformCall['body']),
-      signal: gone.signal,
+      signal: disconnected.signal,
     };
     const route = this.served.find(
       ({ method, path }) => method === req.method && path.test(url.pathname),
     );
     if (!route) return send(res, 405, { reason: 'no such call' });
-    const part = decodeURIComponent(route.path.exec(url.pathname)?.[1] ?? '');
-    const { status, body: answer } = await route.handle(call, part);
+    const pathParameter = decodeURIComponent(route.path.exec(url.pathname)?.[1] ?? '');
+    const { status, body: answer } = await route.handle(call, pathParameter);
     return send(res, status, answer);
   }
 }
--- a/tools/platform/Route.ts
+++ b/tools/platform/Route.ts
@@ -1,11 +1,11 @@
 import type PlatformCall from './PlatformCall';
 
-/** One kind of call that the stand-in serves. */
+/** A call that the simulated platform serves. */
 export default interface Route {
   readonly method: string;
   readonly path: RegExp;
-  /** Answers the call; `part` is the variable part of the path. */
-  readonly handle: (call: PlatformCall, part: string) => Promise<Reply>;
+  /** Answers the call; `pathParameter` is the variable part of the path. */
+  readonly handle: (call: PlatformCall, pathParameter: string) => Promise<Reply>;
 }
 
 interface Reply {
--- a/tools/platform/EngineClient.ts
+++ b/tools/platform/SimulatedStoreClient.ts
@@ -7,7 +7,7 @@
 import type StoreItem from '../../src/store/StoreItem';
 import type CallCounts from './CallCounts';
 import type CallKind from './CallKind';
-import type Faults from './Faults';
+import type StoreFaults from './StoreFaults';
 
 const WRITES: ReadonlySet<CallKind> = new Set<CallKind>([
   'put',
@@ -17,12 +17,12 @@
   'revokeLease',
 ]);
 
-const DOWN: StoreError = { kind: 'unavailable', reason: 'the store is down' };
+const STORE_DOWN: StoreError = { kind: 'unavailable', reason: 'the store is down' };
 
-const LOST: StoreError = { kind: 'unavailable', reason: 'the answer was lost' };
+const ANSWER_LOST: StoreError = { kind: 'unavailable', reason: 'the answer was lost' };
 
-/** One process's access to the stand-in: counts its calls and applies the faults in force. */
-export default class EngineClient implements Store {
+/** One process's access to the simulated store: counts its calls and applies the active faults. */
+export default class SimulatedStoreClient implements Store {
   private readonly counts: CallCounts = {};
 
   private watches = new AbortController();
@@ -30,12 +30,12 @@
   private constructor(
     private readonly store: Store,
     private readonly timer: TimerService,
-    private readonly faults: () => Faults,
+    private readonly faults: () => StoreFaults,
   ) {}
 
-  /** Creates the facade over a store without faults. */
-  static of(store: Store, timer: TimerService, faults: () => Faults): EngineClient {
-    return new EngineClient(store, timer, faults);
+  /** Creates a client of a store that has no faults of its own. */
+  static of(store: Store, timer: TimerService, faults: () => StoreFaults): SimulatedStoreClient {
+    return new SimulatedStoreClient(store, timer, faults);
   }
 
   /** Calls made so far, by kind. */
@@ -43,7 +43,7 @@
     return { ...this.counts };
   }
 
-  /** Ends the waiting watches without an answer, as a lost connection does. */
+  /** Ends the pending watches without an answer, as a lost connection does. */
   breakWatches(): void {
     this.watches.abort();
     this.watches = new AbortController();
@@ -104,9 +104,9 @@
   ): Promise<Result<T, StoreError>> {
     const { slowMs = 0 } = this.faults();
     if (slowMs > 0) await this.timer.sleep(slowMs);
-    if (this.faults().down) return err(DOWN);
+    if (this.faults().down) return err(STORE_DOWN);
     const result = await run();
     const { down, answerLost } = this.faults();
-    return down || (answerLost && WRITES.has(kind)) ? err(LOST) : result;
+    return down || (answerLost && WRITES.has(kind)) ? err(ANSWER_LOST) : result;
   }
 }
--- a/tools/platform/Faults.ts
+++ b/tools/platform/StoreFaults.ts
@@ -1,5 +1,5 @@
-/** What is wrong with the store at the moment, for everybody or for one client. */
-export default interface Faults {
+/** Active faults of the store, for all clients or for one. */
+export default interface StoreFaults {
   /** No call is answered and nothing takes effect. */
   readonly down?: boolean;
   /** Each call takes effect only after this delay. */
--- a/tools/platform/main.ts
+++ b/tools/platform/main.ts
@@ -6,7 +6,7 @@
 const cli = cac('platform');
 
 cli
-  .command('', "Run a stand-in for the platform's key-value service")
+  .command('', "Run a simulation of the platform's key-value service")
   .option('--listen <address>', 'Address to listen on, "ip:port"', { default: '127.0.0.1:0' })
   .action(async ({ listen }: { listen: string }) => {
     const { hostname, port } = new URL(`http://${listen}`);
--- a/tools/platform/routes.ts
+++ b/tools/platform/routes.ts
@@ -2,13 +2,14 @@
 import type StoreError from '../../src/store/StoreError';
 import type Route from './Route';
 
+/** HTTP status of each error. */
 const STATUSES: Readonly<Record<StoreError['kind'], number>> = {
   unavailable: 503,
   conflict: 409,
   leaseGone: 410,
 };
 
-/** The calls of the stand-in, by method and path. */
+/** The calls of the simulated platform, by method and path. */
 const routes: readonly Route[] = [
   {
     method: 'GET',
@@ -39,7 +40,7 @@
     handle: ({ store, query }, key) =>
       replyTo(
         store()
-          .remove(key, numberIn(query, 'expectRevision'))
+          .remove(key, numericParameter(query, 'expectRevision'))
           .map(() => ({})),
       ),
   },
@@ -80,8 +81,8 @@
       replyTo(
         store().watch(
           query.get('prefix') ?? '',
-          numberIn(query, 'after') ?? 0,
-          numberIn(query, 'waitMs') ?? 0,
+          numericParameter(query, 'after') ?? 0,
+          numericParameter(query, 'waitMs') ?? 0,
           signal,
         ),
       ),
@@ -109,7 +110,7 @@
   );
 }
 
-function numberIn(query: URLSearchParams, name: string): number | undefined {
+function numericParameter(query: URLSearchParams, name: string): number | undefined {
   const value = query.get(name);
   return value === null ? undefined : Number(value);
 }
--- a/tools/soak/World.ts
+++ b/tools/soak/World.ts
@@ -6,7 +6,7 @@
 import Processes from '../harness/Processes';
 import TcpProxy from '../harness/TcpProxy';
 import Engine from '../platform/Engine';
-import type Faults from '../platform/Faults';
+import type StoreFaults from '../platform/StoreFaults';
 import PlatformServer from '../platform/PlatformServer';
 import BackendServer from './BackendServer';
 import type Checker from './Checker';
@@ -62,7 +62,7 @@
   /** Processes that were requested to end, with the pause until they start again, ms. */
   private readonly ending = new Map<string, number>();
 
-  private readonly storeFaults = new Set<Faults>();
+  private readonly storeFaults = new Set<StoreFaults>();
 
   private readonly engine: Engine;
 
@@ -136,7 +136,7 @@
   }
 
   /** Applies faults of the store for all processes; the function returned ends them. */
-  addStoreFaults(faults: Faults): () => void {
+  addStoreFaults(faults: StoreFaults): () => void {
     const update = (): void => this.engine.setFaults(Object.assign({}, ...this.storeFaults));
     this.storeFaults.add(faults);
     update();
--- a/tools/soak/kvRoutes.ts
+++ b/tools/soak/kvRoutes.ts
@@ -12,11 +12,11 @@
   readonly writes?: readonly [{ key: string; value: string; lease_id: number }];
 }
 
-/** Answers a call on the calling process's view of the store; `part` is the path segment after the call's name. */
+/** Answers a call on the calling process's view of the store; `pathParameter` is the path segment after the call's name. */
 type Answer = (
   store: Store,
   call: PlatformCall,
-  part: string,
+  pathParameter: string,
 ) => ResultAsync<object | undefined, StoreError>;
 
 /** The key-value calls of the users' platform that magnoliakeel makes, served by the simulated store. */
@@ -77,8 +77,8 @@
   return {
     method,
     path: new RegExp(`^/magnoliakeel/${name}(?:/(\\d+))?$`),
-    handle: (call, part) =>
-      answer(call.store(), call, part).match(
+    handle: (call, pathParameter) =>
+      answer(call.store(), call, pathParameter).match(
         (body) => (body ? { status: 200, body } : { status: 404, body: {} }),
         (error) => ({ status: STATUSES[error.kind], body: error }),
       ),
