--- a/tools/replay/Draw.ts
+++ b/tools/replay/DrawOptions.ts
@@ -1,7 +1,7 @@
 import type Recording from './Recording';
 
 /** Parameters of a synthetic recording. */
-export default interface Draw {
+export default interface DrawOptions {
   readonly seed: number;
   readonly seconds: number;
   /** Multiple of the usual load. */
--- a/tools/replay/drawRecording.ts
+++ b/tools/replay/drawRecording.ts
@@ -1,16 +1,16 @@
 import Random from '../../src/core/Random';
-import type Draw from './Draw';
-import drawnWork from './drawnWork';
+import type DrawOptions from './DrawOptions';
+import workloads from './workloads';
 import type Recording from './Recording';
 
 /**
  * Generates a random recording from the request rates and sizes in the users' documentation: Poisson
  * arrivals; widths, durations and sizes vary around their means; estimates have a relative error of 40%.
  */
-export default function drawRecording(draw: Draw): Recording {
+export default function drawRecording(draw: DrawOptions): Recording {
   const { seed, seconds, load, entries, troubles, bursts } = draw;
   const random = Random.fromSeed(seed);
-  const work = drawnWork[draw.work ?? 'bookings'];
+  const work = workloads[draw.work ?? 'bookings'];
   const batches = work.kinds.flatMap((kind, queue) => {
     const rateAt = (atMs: number): number =>
       kind.perSecond * load * loadFactorAt(draw, queue, atMs);
@@ -19,7 +19,7 @@
   });
   batches.sort((a, b) => a.atMs - b.atMs);
   return {
-    source: `drawn from the users' statistics, ${JSON.stringify({ seed, seconds, load, bursts })}`,
+    source: `drawn from the users' figures, ${JSON.stringify({ seed, seconds, load, bursts })}`,
     entries,
     zones: ZONES,
     zoneMs: 0.5,
@@ -42,7 +42,7 @@
 
 /** Assigns duration ratios with a separate random generator, so that the load does not depend on them. */
 function drawBackends(
-  { backends, backendMilli, speeds, rowSpeeds, seed }: Draw,
+  { backends, backendMilli, speeds, rowSpeeds, seed }: DrawOptions,
   unitMilli: number,
 ): Recording['backends'] {
   const random = Random.fromSeed(seed);
@@ -63,7 +63,7 @@
 }
 
 function drawTail(
-  { share, times }: NonNullable<Draw['tail']>,
+  { share, times }: NonNullable<DrawOptions['tail']>,
   random: Random,
   batches: Recording['batches'],
 ): NonNullable<Recording['tail']> {
@@ -74,7 +74,7 @@
 }
 
 function drawCrashing(
-  { share, downMs }: NonNullable<Draw['crashing']>,
+  { share, downMs }: NonNullable<DrawOptions['crashing']>,
   random: Random,
   batches: Recording['batches'],
 ): NonNullable<Recording['crashing']> {
@@ -86,7 +86,7 @@
 const ZONES = 3;
 
 /** Multiple of a queue's usual load at a time. */
-function loadFactorAt({ bursts, phases = [] }: Draw, queue: number, atMs: number): number {
+function loadFactorAt({ bursts, phases = [] }: DrawOptions, queue: number, atMs: number): number {
   const burst = atMs >= 3_000 && atMs < 7_000 ? (bursts[queue] ?? 1) : 1;
   const active = phases.filter(({ fromMs, untilMs }) => atMs >= fromMs && atMs < untilMs);
   return active.reduce((product, { times }) => product * (times[queue] ?? 1), burst);
@@ -104,7 +104,7 @@
 
 function drawBatch(
   random: Random,
-  { kinds, taskMilli }: (typeof drawnWork)['bookings'],
+  { kinds, taskMilli }: (typeof workloads)['bookings'],
   queue: number,
   atMs: number,
   entries: number,
--- a/tools/replay/draws.ts
+++ b/tools/replay/draws.ts
@@ -1,4 +1,4 @@
-import type Draw from './Draw';
+import type DrawOptions from './DrawOptions';
 
 const base = { seed: 7, seconds: 10, entries: 3, backends: 11, troubles: [], bursts: [1, 1, 1] };
 
@@ -15,14 +15,14 @@
  * Two thirds of the backend servers have a duration ratio of 0.7, the others of 1.7, and tasks have a long tail. At
  * load 1 the work, spread evenly, takes the capacity of 98 tasks out of some 213.
  */
-const twospeed: Omit<Draw, 'load'> = {
+const twospeed: Omit<DrawOptions, 'load'> = {
   ...base,
   ...{ work: 'ledgers', seconds: 8, backends: 20, backendMilli: 16_000 },
   ...{ speeds: [0.7, 0.7, 1.7], tail: { share: 0.03, times: 7 } },
 };
 
 /** Parameters of the synthetic recordings, by name. */
-const draws: Readonly<Record<string, Draw>> = {
+const draws: Readonly<Record<string, DrawOptions>> = {
   /** Demand below capacity. */
   calm: { ...base, load: 0.8 },
   /** Demand constantly somewhat above capacity. */
--- a/tools/replay/drawnWork.ts
+++ b/tools/replay/workloads.ts
@@ -1,5 +1,5 @@
 /** The workload of one user's callers. */
-interface DrawnWork {
+interface WorkloadSpec {
   /** Mean cores that a task asks for, in thousandths. */
   readonly taskMilli: number;
   /** Unit of backend server size, thousandths of a core: smaller ones have two units, larger ones three. */
@@ -18,7 +18,7 @@
 }
 
 /** Workloads from the users' documentation. */
-const drawnWork: Readonly<Record<'bookings' | 'ledgers', DrawnWork>> = {
+const workloads: Readonly<Record<'bookings' | 'ledgers', WorkloadSpec>> = {
   /** Large tasks without a spec. */
   bookings: {
     taskMilli: 3_100,
@@ -59,4 +59,4 @@
   },
 };
 
-export default drawnWork;
+export default workloads;
--- a/tools/soak/EntryConnection.ts
+++ b/tools/soak/EntryConnection.ts
@@ -2,7 +2,7 @@
 import { buildConnector, Client } from 'undici';
 import type TimerService from '../../src/core/TimerService';
 import type Job from './Job';
-import type Sending from './Sending';
+import type SendResult from './SendResult';
 
 /** A caller's connection to an entry, kept open until it breaks or is closed. */
 export default class EntryConnection {
@@ -34,7 +34,7 @@
   }
 
   /** Submits a job and waits for its answer; if `cancel` aborts first, the connection is closed. */
-  async send({ id, body, deadlineMs }: Job, cancel?: AbortSignal): Promise<Sending> {
+  async send({ id, body, deadlineMs }: Job, cancel?: AbortSignal): Promise<SendResult> {
     const { resets } = this;
     const timeout = new AbortController();
     const limit = this.timer.after(deadlineMs + TOLERANCE_MS, () => timeout.abort('silence'));
--- a/tools/soak/JobSender.ts
+++ b/tools/soak/JobSender.ts
@@ -3,7 +3,7 @@
 import type Checker from './Checker';
 import EntryConnection from './EntryConnection';
 import type Job from './Job';
-import type Sending from './Sending';
+import type SendResult from './SendResult';
 
 interface JobSenderOptions {
   readonly timer: TimerService;
@@ -31,20 +31,20 @@
   }
 
   /** Sends a job over the current connection or the one given; when `cancel` aborts, the caller closes it. */
-  async send(job: Job, connection = this.current, cancel?: AbortSignal): Promise<Sending> {
+  async send(job: Job, connection = this.current, cancel?: AbortSignal): Promise<SendResult> {
     const { timer, checker, logLine } = this.opts;
     const { id, tasks } = job;
     const { entry } = connection;
     const sentAt = timer.now();
     checker.jobSent(id, tasks);
     logLine(`caller sends ${id} to ${entry}`);
-    const sending = await connection.send(job, cancel);
-    const { status, text, isUnsent, isReset } = sending;
+    const result = await connection.send(job, cancel);
+    const { status, text, isUnsent, isReset } = result;
     const isClosed = status === 0 && (isReset || cancel?.aborted === true);
     logLine(`caller has ${isClosed ? 'closed' : status} for ${id} from ${entry} ${text}`);
     if (isClosed) checker.connectionClosed(id);
     else if (!isUnsent) checker.jobAnswered({ id, entry, sentAt, status, text });
-    return sending;
+    return result;
   }
 
   /** Replaces the current connection by one to a random entry, and closes it. */
--- a/tools/soak/RESEND_MS.ts
+++ b/tools/soak/RESEND_PAUSE_MS.ts
@@ -1,3 +1,3 @@
 /** Pause before a job is sent again, as in the users' callers, ms. */
-const RESEND_MS = 1_300;
-export default RESEND_MS;
+const RESEND_PAUSE_MS = 1_300;
+export default RESEND_PAUSE_MS;
--- a/tools/soak/Sending.ts
+++ b/tools/soak/SendResult.ts
@@ -1,5 +1,5 @@
 /** The result of sending a job once. */
-export default interface Sending {
+export default interface SendResult {
   /** HTTP status; 0 if there was no answer. */
   readonly status: number;
   readonly text: string;
--- a/tools/soak/SoakCaller.ts
+++ b/tools/soak/SoakCaller.ts
@@ -5,9 +5,9 @@
 import type EntryConnection from './EntryConnection';
 import type Job from './Job';
 import JobSender from './JobSender';
-import RESEND_MS from './RESEND_MS';
+import RESEND_PAUSE_MS from './RESEND_PAUSE_MS';
 import type SendingWay from './SendingWay';
-import type UnusualSendings from './UnusualSendings';
+import type SendingWayMix from './SendingWayMix';
 import sendingWays from './sendingWays';
 
 interface SoakCallerOptions {
@@ -17,7 +17,7 @@
   /** Addresses at which entries accept callers, by entry name. */
   readonly entries: ReadonlyMap<string, string>;
   /** How some of the jobs are sent; if absent, each is sent to one entry at a time. */
-  readonly unusual?: UnusualSendings;
+  readonly unusual?: SendingWayMix;
   /** Decides how jobs are sent; `random` decides the jobs and the pauses between them. */
   readonly wayRandom: Random;
   /** The connections of all callers. */
@@ -86,7 +86,7 @@
       if (!RETRIED_STATUSES.has(status) || stop.aborted) return;
       if (status === 0) await sender.reconnect();
       attemptsLeft -= 1;
-      await timer.sleep(RESEND_MS);
+      await timer.sleep(RESEND_PAUSE_MS);
     }
   }
 
--- a/tools/soak/World.ts
+++ b/tools/soak/SoakDeployment.ts
@@ -13,7 +13,7 @@
 import type EntryConnection from './EntryConnection';
 import kvRoutes from './kvRoutes';
 
-interface WorldOptions {
+interface SoakDeploymentOptions {
   readonly timer: TimerService;
   readonly random: Random;
   readonly checker: Checker;
@@ -29,11 +29,12 @@
 interface ProcessSpec {
   readonly role: 'entry' | 'sidecar';
   readonly ip: string;
+  /** Path of its settings file. */
   readonly settings: string;
 }
 
 /** Everything that runs in a soak: the processes of magnoliakeel, and the simulated services and proxies around them. */
-export default class World {
+export default class SoakDeployment {
   /** Addresses at which entries accept callers, by entry name. */
   readonly callerAddresses = new Map<string, string>();
 
@@ -71,7 +72,7 @@
   private isClosing = false;
 
   private constructor(
-    private readonly opts: WorldOptions,
+    private readonly opts: SoakDeploymentOptions,
     private readonly network: string,
   ) {
     this.engine = Engine.create(opts.timer);
@@ -86,17 +87,19 @@
   }
 
   /** Starts everything; resolves once all entries have a configuration. */
-  static async start(opts: WorldOptions): Promise<World> {
-    const world = new World(opts, await reserveNetwork());
-    const store = await world.store.listen(`${world.network}.5.1`, PORT);
-    world.configure(1);
-    for (let one = 1; one <= opts.entries; one += 1) await world.addEntry(one, store);
-    await world.waitForOutput(world.entries, /a configuration is in force/);
-    for (let one = 1; one <= opts.sidecars; one += 1) {
-      await world.addSidecar(one, store);
-      if (one % START_GROUP === 0) await world.waitForOutput(world.sidecars, /has started/);
+  static async start(opts: SoakDeploymentOptions): Promise<SoakDeployment> {
+    const deployment = new SoakDeployment(opts, await reserveNetwork());
+    const store = await deployment.store.listen(`${deployment.network}.5.1`, PORT);
+    deployment.configure(1);
+    for (let number = 1; number <= opts.entries; number += 1)
+      await deployment.addEntry(number, store);
+    await deployment.waitForOutput(deployment.entries, /a configuration is in force/);
+    for (let number = 1; number <= opts.sidecars; number += 1) {
+      await deployment.addSidecar(number, store);
+      if (number % START_GROUP === 0)
+        await deployment.waitForOutput(deployment.sidecars, /has started/);
     }
-    return world;
+    return deployment;
   }
 
   get entries(): string[] {
@@ -228,7 +231,9 @@
     const number = this.processSpecs.size + 1;
     const proxy = await TcpProxy.to(store, `${this.network}.6.${number}:${PORT}`, this.opts.timer);
     this.storeProxies.set(name, proxy);
-    const seeds = [...Array(this.opts.entries).keys()].map((one) => `${this.network}.1.${one + 1}`);
+    const seeds = [...Array(this.opts.entries).keys()].map(
+      (index) => `${this.network}.1.${index + 1}`,
+    );
     const file = path.join(this.opts.folder, `${name}.json`);
     const common = { cluster: 'soak', instance: name, zone: 'z1', seeds };
     writeFileSync(file, JSON.stringify({ ...common, store: { address: proxy.address }, ...own }));
--- a/tools/soak/runSoak.ts
+++ b/tools/soak/runSoak.ts
@@ -11,8 +11,8 @@
 import planFaults from './planFaults';
 import SoakCaller from './SoakCaller';
 import applyFault from './applyFault';
-import type UnusualSendings from './UnusualSendings';
-import World from './World';
+import type SendingWayMix from './SendingWayMix';
+import SoakDeployment from './SoakDeployment';
 
 interface SoakOptions {
   readonly seed: number;
@@ -22,7 +22,7 @@
   readonly sidecars: number;
   readonly callers: number;
   /** How callers send some of the jobs; if absent, each is sent to one entry at a time. */
-  readonly unusual?: UnusualSendings;
+  readonly unusual?: SendingWayMix;
   /** The faults; drawn from the seed if absent. */
   readonly faults?: readonly Fault[];
   /** Folder of prebuilt bundles; the current code is built if absent. */
@@ -45,20 +45,28 @@
     [...Array(count).keys()].map((number) => `${role}-${number + 1}`);
   const shape = { entries: names('entry', entries), sidecars: names('sidecar', sidecars) };
   const faults = opts.faults ?? planFaults(random, { ...shape, endMs: seconds * 1_000 });
-  const world = await World.start({ timer, random, checker, entries, sidecars, bundles, folder });
+  const deployment = await SoakDeployment.start({
+    timer,
+    random,
+    checker,
+    entries,
+    sidecars,
+    bundles,
+    folder,
+  });
   try {
-    await runUnderFaults(world, checker, timer, random, faults, opts);
+    await runUnderFaults(deployment, checker, timer, random, faults, opts);
   } finally {
-    await world.close();
+    await deployment.close();
     rmSync(folder, { recursive: true });
   }
   if (checker.findings.length > 0 && opts.out !== undefined)
-    saveResults(opts.out, world, checker, faults);
+    saveResults(opts.out, deployment, checker, faults);
   return checker;
 }
 
 async function runUnderFaults(
-  world: World,
+  deployment: SoakDeployment,
   checker: Checker,
   timer: TimerService,
   random: Random,
@@ -67,32 +75,32 @@
 ): Promise<void> {
   const stop = new AbortController();
   setMaxListeners(0, stop.signal);
-  const { entries } = world;
+  const { entries } = deployment;
   // Callers stay with the entry they reach, so each entry gets one more caller that knows only this entry.
   const reachable = [
-    ...Array<typeof world.callerAddresses>(opts.callers).fill(world.callerAddresses),
-    ...[...world.callerAddresses].map((each) => new Map([each])),
+    ...Array<typeof deployment.callerAddresses>(opts.callers).fill(deployment.callerAddresses),
+    ...[...deployment.callerAddresses].map((each) => new Map([each])),
   ];
   const callers = reachable.map((known, number) => {
     const own = Random.fromSeed(opts.seed * 1_000 + number);
     const wayRandom = Random.fromSeed(opts.seed * 1_000 + WAY_SEED_OFFSET + number);
-    const logLine = (text: string): void => world.logLine(text);
+    const logLine = (text: string): void => deployment.logLine(text);
     const { unusual } = opts;
-    const { connections } = world;
+    const { connections } = deployment;
     const common = { timer, checker, entries: known, unusual, connections, logLine };
     return SoakCaller.run({ ...common, random: own, wayRandom }, stop.signal);
   });
-  const changes = world.changeConfiguration(stop.signal);
+  const changes = deployment.changeConfiguration(stop.signal);
   const injections = faults.map(async (fault) => {
     await timer.sleep(fault.atMs);
-    const end = applyFault(world, fault, checker);
+    const end = applyFault(deployment, fault, checker);
     await timer.sleep(fault.forMs);
     end();
   });
   await Promise.all([...injections, timer.sleep(opts.seconds * 1_000)]);
-  await world.waitUntilRunning(SETTLE_MS);
+  await deployment.waitUntilRunning(SETTLE_MS);
   const lastFaultAt = timer.now();
-  world.logLine('the last fault has ended');
+  deployment.logLine('the last fault has ended');
   while (
     !checker.haveServedSince(entries, lastFaultAt) &&
     timer.now() < lastFaultAt + MAX_RECOVERY_MS
@@ -105,10 +113,15 @@
   checker.checkAtEnd(entries, lastFaultAt);
 }
 
-function saveResults(out: string, world: World, checker: Checker, faults: readonly Fault[]): void {
+function saveResults(
+  out: string,
+  deployment: SoakDeployment,
+  checker: Checker,
+  faults: readonly Fault[],
+): void {
   mkdirSync(out, { recursive: true });
   const write = (name: string, text: string): void => writeFileSync(path.join(out, name), text);
-  write('lines.log', `${world.logLines.join('\n')}\n`);
+  write('lines.log', `${deployment.logLines.join('\n')}\n`);
   write('faults.json', JSON.stringify(faults, undefined, 1));
   write('findings.json', JSON.stringify(checker.findings, undefined, 1));
 }
--- a/tools/soak/sendingWays.ts
+++ b/tools/soak/sendingWays.ts
@@ -2,8 +2,8 @@
 import type TimerService from '../../src/core/TimerService';
 import type Job from './Job';
 import type JobSender from './JobSender';
-import RESEND_MS from './RESEND_MS';
-import type Sending from './Sending';
+import RESEND_PAUSE_MS from './RESEND_PAUSE_MS';
+import type SendResult from './SendResult';
 
 interface SendContext {
   readonly timer: TimerService;
@@ -12,7 +12,7 @@
 }
 
 /** Sends a job to one or more entries; resolves to the result that its caller uses. */
-type Send = (job: Job, context: SendContext) => Promise<Sending>;
+type Send = (job: Job, context: SendContext) => Promise<SendResult>;
 
 /** The ways in which callers send a job; a failed one is sent again by its caller after a pause. */
 const sendingWays = {
@@ -21,8 +21,8 @@
 
   /** To one entry, and almost at once to another if the connection breaks. */
   'at-once': async (job, { timer, random, sender }) => {
-    const sending = await sender.send(job);
-    if (sending.status !== 0 || sending.isUnsent) return sending;
+    const result = await sender.send(job);
+    if (result.status !== 0 || result.isUnsent) return result;
     await timer.sleep(random.below(MAX_AT_ONCE_PAUSE_MS));
     await sender.close(sender.switchTo(sender.connectElsewhere()));
     return sender.send(job);
@@ -32,9 +32,9 @@
   abandon: async (job, { timer, random, sender }) => {
     const cancel = new AbortController();
     const timeout = timer.after(1 + random.below(MAX_SWITCH_DELAY_MS), () => cancel.abort());
-    const sending = await sender.send(job, sender.connection, cancel.signal);
+    const result = await sender.send(job, sender.connection, cancel.signal);
     timeout.cancel();
-    if (!cancel.signal.aborted || sending.status !== 0) return sending;
+    if (!cancel.signal.aborted || result.status !== 0) return result;
     await sender.close(sender.switchTo(sender.connectElsewhere()));
     return sender.send(job);
   },
@@ -43,7 +43,7 @@
   hedge: async (job, { timer, random, sender }) => {
     const connections = [sender.connection, sender.connectElsewhere()] as const;
     const cancel = connections.map(() => new AbortController());
-    const send = (index: 0 | 1): Promise<Sending> =>
+    const send = (index: 0 | 1): Promise<SendResult> =>
       sender.send(job, connections[index], cancel[index]!.signal);
     const first = send(0);
     const delay = timer.sleep(1 + random.below(MAX_SWITCH_DELAY_MS));
@@ -55,10 +55,10 @@
     const both = [first, send(1)] as const;
     const winner = await firstAnswered(both);
     cancel[1 - winner]!.abort();
-    const sendings = await Promise.all(both);
+    const results = await Promise.all(both);
     sender.switchTo(connections[winner]);
     await sender.close(connections[1 - winner]!);
-    return sendings[winner];
+    return results[winner];
   },
 
   /** The connection breaks for the caller only: its entry continues, and another gets the job after the usual pause. */
@@ -67,17 +67,17 @@
     const early = await Promise.race([first, timer.sleep(1 + random.below(MAX_SWITCH_DELAY_MS))]);
     if (early) return early;
     const former = sender.switchTo(sender.connectElsewhere());
-    await timer.sleep(RESEND_MS);
-    const [sending] = await Promise.all([sender.send(job), first]);
+    await timer.sleep(RESEND_PAUSE_MS);
+    const [result] = await Promise.all([sender.send(job), first]);
     await sender.close(former);
-    return sending;
+    return result;
   },
 
   /** Sent to two entries at the same time; the caller waits for both answers. */
   duplicate: async (job, { sender }) => {
     const second = sender.connectElsewhere();
-    const sendings = [sender.send(job), sender.send(job, second)];
-    const answers = await Promise.all(sendings);
+    const results = [sender.send(job), sender.send(job, second)];
+    const answers = await Promise.all(results);
     await sender.close(second);
     return answers.find(({ status }) => status === 200) ?? answers[0]!;
   },
@@ -86,10 +86,10 @@
 
 /** Index of the request that is answered first; 0 if neither is answered. */
 async function firstAnswered(
-  sendings: readonly [Promise<Sending>, Promise<Sending>],
+  results: readonly [Promise<SendResult>, Promise<SendResult>],
 ): Promise<0 | 1> {
   const answered = ([0, 1] as const).map(async (index) => {
-    const { status } = await sendings[index];
+    const { status } = await results[index];
     if (status === 0) throw new Error('no answer');
     return index;
   });
