--- a/tools/leasedBackend/LeasedBackend.ts
+++ b/tools/leasedBackend/LeasedBackend.ts
@@ -55,8 +55,8 @@
 /**
  * Simulates an incarnation of a backend server that runs tasks under a lease: fencing tokens, increasing
  * attempt numbers, ends listed until they are acknowledged, and calls that are lost or carried out late.
- * Unlike the users' backend servers it never refuses a start for lack of capacity; `busiest` shows whether it
- * was overloaded.
+ * Unlike the users' backend servers it never refuses a start for lack of capacity; its maximum number of
+ * concurrent runs shows whether it was overloaded.
  */
 export default class LeasedBackend implements BackendRunClient {
   /** Every start that was carried out, in order. */
@@ -73,7 +73,7 @@
 
   private endCount = 0;
 
-  private token = 0;
+  private highestToken = 0;
 
   private leaseUntil = 0;
 
@@ -177,7 +177,7 @@
     this.highestAttempts.clear();
     this.unacknowledgedEnds = [];
     this.endCount = 0;
-    this.token = 0;
+    this.highestToken = 0;
     this.leaseUntil = 0;
     this.sequence = 0;
   }
@@ -322,8 +322,8 @@
   }
 
   private acceptsToken(token: number): boolean {
-    if (token < this.token) return false;
-    this.token = token;
+    if (token < this.highestToken) return false;
+    this.highestToken = token;
     return true;
   }
 
--- a/tools/replay/Absences.ts
+++ b/tools/replay/Absences.ts
@@ -42,7 +42,7 @@
   }
 
   /** Submits a request; resolves to `unknown` if the entry is absent or is killed before it answers. */
-  answerOf(entry: number, submit: () => Promise<BatchAnswer>): Promise<BatchAnswer['kind']> {
+  submitAt(entry: number, submit: () => Promise<BatchAnswer>): Promise<BatchAnswer['kind']> {
     if (this.has(entry)) return Promise.resolve('unknown');
     const lost = new Promise<'unknown'>((resolve) => {
       const losses = this.answerLosses.get(entry) ?? [];
--- a/tools/replay/Outcome.ts
+++ b/tools/replay/Outcome.ts
@@ -2,7 +2,9 @@
 export default interface Outcome {
   readonly queue: string;
   readonly batches: number;
+  /** Answered within the latency target. */
   readonly onTime: number;
+  /** Answered after the target, but before expiry. */
   readonly late: number;
   readonly refused: number;
   /** Answered after their expiry, given up, or failed. */
--- a/tools/replay/Replay.ts
+++ b/tools/replay/Replay.ts
@@ -64,13 +64,15 @@
   /** Long-tail tasks, as "batch/index". */
   private readonly tail: ReadonlySet<string>;
 
-  private open = 0;
+  /** Batches that have not been answered. */
+  private openBatches = 0;
 
-  private starts = 0;
+  private startedTasks = 0;
 
+  /** Work of all started runs, and of all completed batches, thousandths of a core times ms. */
   private startedWork = 0;
 
-  private doneWork = 0;
+  private completedWork = 0;
 
   private constructor(
     private readonly recording: Recording,
@@ -126,8 +128,8 @@
     recording.batches.forEach((batch, number) =>
       timer.after(batch.atMs, () => this.submit(batch, number)),
     );
-    this.open = recording.batches.length;
-    while (this.open > 0 && timer.now() - startedAt < MAX_REPLAY_MS)
+    this.openBatches = recording.batches.length;
+    while (this.openBatches > 0 && timer.now() - startedAt < MAX_REPLAY_MS)
       await timer.advance(CLOCK_STEP_MS);
   }
 
@@ -136,9 +138,9 @@
     return {
       outcomes: this.tally.outcomes,
       answers: this.tally.answers,
-      servedCoreSeconds: this.doneWork / CORE_SECOND,
-      wastedCoreSeconds: (this.startedWork - this.doneWork) / CORE_SECOND,
-      messagesPerTask: sent / Math.max(1, this.starts),
+      servedCoreSeconds: this.completedWork / CORE_SECOND,
+      wastedCoreSeconds: (this.startedWork - this.completedWork) / CORE_SECOND,
+      messagesPerTask: sent / Math.max(1, this.startedTasks),
       messages: this.network.messageCounts(),
       byEntry: this.statistics.summarize(this.tally.answers),
     };
@@ -161,13 +163,13 @@
     const home = batch.entry % recording.entries;
     const entry = this.entries[home]!;
     this.absences
-      .answerOf(home, () => this.submitTo(entry, submission))
+      .submitAt(home, () => this.submitTo(entry, submission))
       .then((kind) => {
-        this.open -= 1;
+        this.openBatches -= 1;
         const ending = endings[kind] ?? 'other';
         this.tally.add(batch, ending, timer.now() - arrivedAt);
         if (ending === 'completed') {
-          this.doneWork += tasksMs.reduce((sum, ms) => sum + ms, 0) * cpuMilli;
+          this.completedWork += tasksMs.reduce((sum, ms) => sum + ms, 0) * cpuMilli;
         }
       });
   }
@@ -266,7 +268,7 @@
       return { ms: CRASH_MS, fails: true, crashes: true };
     }
     const workMs = tasksMs[index] ?? 0;
-    this.starts += 1;
+    this.startedTasks += 1;
     this.startedWork += workMs * cpuMilli;
     const ms = Math.round(workMs * this.durationRatioOf(backend, `${batch}/${index}`));
     const trouble = this.troubleOf(backend);
--- a/tools/soak/SoakDeployment.ts
+++ b/tools/soak/SoakDeployment.ts
@@ -102,10 +102,12 @@
     return deployment;
   }
 
+  /** Names of the entries. */
   get entries(): string[] {
     return [...this.callerAddresses.keys()];
   }
 
+  /** Names of the sidecars. */
   get sidecars(): string[] {
     return [...this.backends.keys()];
   }
--- a/tools/soak/planFaults.ts
+++ b/tools/soak/planFaults.ts
@@ -54,7 +54,7 @@
 /** When the first fault starts, ms since the start of the run. */
 const FIRST_FAULT_MS = 2_500;
 
-/** Maximum pause between faults beyond MIN_GAP_MS, ms. */
+/** Maximum pause between faults beyond MIN_GAP_MS, ms; the mean is half of it. */
 const MAX_GAP_MS = 1_600;
 
 /** Maximum pause between the starts of the faults of a series beyond MIN_GAP_MS, ms. */
