--- a/src/batches/BatchEntry.ts
+++ b/src/batches/BatchEntry.ts
@@ -1,6 +1,6 @@
 import type { Result } from 'neverthrow';
 import BatchClaims from '../claims/BatchClaims';
-import Lateness from '../core/Lateness';
+import EventLoopLag from '../core/EventLoopLag';
 import { RunOutcome, type SeenEntry } from '../gen/magnoliakeel/v1/peer_pb';
 import type DrainedZones from '../peering/DrainedZones';
 import FleetDurationRatios from '../placement/FleetDurationRatios';
@@ -25,7 +25,7 @@
 import RecentCrashes from './RecentCrashes';
 import RunEndHandler from './RunEndHandler';
 import Scheduler from './Scheduler';
-import SlowRunMoves from './SlowRunMoves';
+import SlowRunMover from './SlowRunMover';
 import Startup from './Startup';
 import LoadShedder from './LoadShedder';
 import type SidecarPeer from './SidecarPeer';
@@ -59,9 +59,9 @@
 
   private readonly pauseDetector: PauseDetector;
 
-  private readonly eventLoopLag: Lateness;
+  private readonly eventLoopLag: EventLoopLag;
 
-  private readonly slowRunMoves: SlowRunMoves;
+  private readonly slowRunMoves: SlowRunMover;
 
   private isLeaving = false;
 
@@ -69,7 +69,7 @@
     const { timer, random, log, metrics, zone, remoteFactor, policy = standardPolicy } = opts;
     this.settings = OperatorSettings.create(log);
     this.startup = Startup.begin(timer);
-    this.eventLoopLag = Lateness.watch(timer);
+    this.eventLoopLag = EventLoopLag.start(timer);
     const crashHistory = CrashHistory.create(timer);
     const estimator = BatchEstimator.create(policy);
     this.batches = OpenBatches.create({
@@ -136,7 +136,12 @@
       metrics,
       batches: this.batches,
       estimator,
-      crashes: RecentCrashes.create({ timer, log, metrics, attributeCrashes: policy.judgeCrashes }),
+      crashes: RecentCrashes.create({
+        timer,
+        log,
+        metrics,
+        attributeCrashes: policy.attributeCrashes,
+      }),
       exceedsCrashLimit: policy.exceedsCrashLimit,
       onCrash: (batch) => crashHistory.save(batch),
       onEnd: () => this.scheduler.wake(),
@@ -154,10 +159,12 @@
     this.lostSidecars = LostSidecars.create(timer, (run, peer, reason) =>
       this.runEndHandler.handleEnd(run, peer, RunOutcome.LOST, reason),
     );
-    this.pauseDetector = PauseDetector.start(timer, pulseTimings.watchIntervalMs.entry, (gapMs) =>
-      this.handlePause(gapMs),
+    this.pauseDetector = PauseDetector.start(
+      timer,
+      pulseTimings.pauseCheckIntervalMs.entry,
+      (gapMs) => this.handlePause(gapMs),
     );
-    this.slowRunMoves = SlowRunMoves.start({ timer, log, metrics, policy, fleet, peers: sidecars });
+    this.slowRunMoves = SlowRunMover.start({ timer, log, metrics, policy, fleet, peers: sidecars });
   }
 
   /** Creates an entry that neither listens nor dials yet. */
@@ -203,8 +210,8 @@
   }
 
   /** Duration ratios, relative to the mean, of the machines that deviate from it. */
-  get speeds(): ReadonlyMap<SidecarPeer, number> {
-    return this.scheduler.speeds;
+  get machineRatios(): ReadonlyMap<SidecarPeer, number> {
+    return this.scheduler.machineRatios;
   }
 
   /** Number of linked sidecars. */
--- a/src/batches/BatchPolicy.ts
+++ b/src/batches/BatchPolicy.ts
@@ -29,7 +29,10 @@
   /** Urgency of a waiting batch, which decides the order in which batches get capacity. */
   readonly urgency: typeof urgencyOf;
   /** Duration ratios, relative to the mean, of the machines that deviate from it. */
-  readonly speeds: (fleet: FleetDurationRatios, peers: Iterable<SidecarPeer>) => MachineRatios;
+  readonly machineRatios: (
+    fleet: FleetDurationRatios,
+    peers: Iterable<SidecarPeer>,
+  ) => MachineRatios;
   /** The sidecar where a task starts; undefined if none can accept it now. */
   readonly choose: typeof choosePeer;
   /**
@@ -54,7 +57,7 @@
    */
   readonly exceedsCrashLimit: typeof exceedsCrashLimit;
   /** Which runs are suspected of crashes that happened at about the same time. */
-  readonly judgeCrashes: typeof attributeCrashes;
+  readonly attributeCrashes: typeof attributeCrashes;
   /** Whether a run at an ejected backend server is stopped and restarted elsewhere. */
   readonly shouldMove: typeof isWorthMoving;
 }
--- a/src/batches/EntryMesh.ts
+++ b/src/batches/EntryMesh.ts
@@ -76,7 +76,7 @@
       delays: redialDelays,
       serve: (link) => this.serve(link).then(() => true),
       onDial: (address, failure) => {
-        dials.dialled(address, failure);
+        dials.logDial(address, failure);
         if (failure !== undefined) this.markContacted(address);
       },
       onError: (address, error) => log.warn('error in serving a link', { address, error }),
--- a/src/batches/EntryPeers.ts
+++ b/src/batches/EntryPeers.ts
@@ -154,7 +154,7 @@
 
   private closeUnresponsive(): void {
     this.sidecars.forEach((peer) => {
-      if (peer.silentMs > pulseTimings.closeMs) peer.link.close(true);
+      if (peer.silentMs > pulseTimings.closeAfterMs) peer.link.close(true);
     });
   }
 
--- a/src/batches/RecentCrashes.ts
+++ b/src/batches/RecentCrashes.ts
@@ -13,7 +13,7 @@
   readonly log: EventLog;
   readonly metrics?: Metrics;
   /** Attributes crashes that happened at about the same time. */
-  readonly attributeCrashes: BatchPolicy['judgeCrashes'];
+  readonly attributeCrashes: BatchPolicy['attributeCrashes'];
 }
 
 /**
--- a/src/batches/Scheduler.ts
+++ b/src/batches/Scheduler.ts
@@ -65,7 +65,7 @@
   /**
    * Duration ratios, relative to the mean, of the machines that deviate from it, as last computed.
    */
-  get speeds(): ReadonlyMap<SidecarPeer, number> {
+  get machineRatios(): ReadonlyMap<SidecarPeer, number> {
     return this.cached?.machineRatios ?? new Map();
   }
 
@@ -170,7 +170,7 @@
     if (cached && now - cached.at < FLEET_STATE_TTL_MS && cached.peerCount === peers.length)
       return cached;
     const { fleet, policy } = this.opts;
-    const machineRatios = policy.speeds(fleet, peers);
+    const machineRatios = policy.machineRatios(fleet, peers);
     this.cached = {
       machineRatios,
       ejected: policy.findOutliers(peers, machineRatios),
--- a/src/batches/SidecarPeer.ts
+++ b/src/batches/SidecarPeer.ts
@@ -136,7 +136,7 @@
     return (
       this.room.accepting &&
       now >= this.pausedUntil &&
-      this.silentMs < pulseTimings.suspectMs &&
+      this.silentMs < pulseTimings.suspectAfterMs &&
       !this.link.closed.aborted
     );
   }
--- a/src/batches/SlowRunMoves.ts
+++ b/src/batches/SlowRunMover.ts
@@ -20,7 +20,7 @@
  * Stops runs that make hardly any progress at an ejected backend server; they are restarted
  * elsewhere once they have ended.
  */
-export default class SlowRunMoves {
+export default class SlowRunMover {
   private readonly checkTimer: Subscription;
 
   private constructor(private readonly opts: SlowRunMovesOptions) {
@@ -28,8 +28,8 @@
   }
 
   /** Starts to check the runs periodically. */
-  static start(opts: SlowRunMovesOptions): SlowRunMoves {
-    return new SlowRunMoves(opts);
+  static start(opts: SlowRunMovesOptions): SlowRunMover {
+    return new SlowRunMover(opts);
   }
 
   /** Stops the checks. */
@@ -40,7 +40,9 @@
   private checkRuns(): void {
     const { fleet, policy, peers } = this.opts;
     const all = [...peers()];
-    policy.findOutliers(all, policy.speeds(fleet, all)).forEach((peer) => this.moveFrom(peer));
+    policy
+      .findOutliers(all, policy.machineRatios(fleet, all))
+      .forEach((peer) => this.moveFrom(peer));
   }
 
   private moveFrom(peer: SidecarPeer): void {
--- a/src/batches/SubmissionHandler.ts
+++ b/src/batches/SubmissionHandler.ts
@@ -122,10 +122,11 @@
     const claim = claims.open({
       batch: batch.id,
       keptMs: Math.round(Math.max(0, batch.submission.waitMs) + MAX_RUN_END_MS),
-      contested: () => {
+      onContested: () => {
         batch.mayHaveRun = true;
       },
-      lost: () => batches.finish(batch, { kind: 'unknown', reason: 'another entry has taken it' }),
+      onLost: () =>
+        batches.finish(batch, { kind: 'unknown', reason: 'another entry has taken it' }),
     });
     batch.whenAnswered().then(() => {
       claims.close(claim);
--- a/src/batches/standardPolicy.ts
+++ b/src/batches/standardPolicy.ts
@@ -13,13 +13,13 @@
   predictDuration: (durations, queue, estimateMs) => durations.predict(queue, estimateMs),
   estimateSpent: (model, queue, waitMs) => model.observe(queue, waitMs),
   urgency: urgencyOf,
-  speeds: (fleet, peers) => fleet.relativeToMean(peers),
+  machineRatios: (fleet, peers) => fleet.relativeToMean(peers),
   choose: choosePeer,
   canShareMessage,
   poolLoads: combineLoads,
   findOutliers,
   exceedsCrashLimit,
-  judgeCrashes: attributeCrashes,
+  attributeCrashes,
   shouldMove: isWorthMoving,
 };
 
--- a/src/callers/CallerServer.ts
+++ b/src/callers/CallerServer.ts
@@ -78,7 +78,7 @@
   /** Listens on "ip:port" and returns the bound address. */
   listen(address: string): ResultAsync<string, Error> {
     const [host, port] = address.split(':');
-    const listening = openServer(this.server, { host, port: Number(port) }, this.options.failed);
+    const listening = openServer(this.server, { host, port: Number(port) }, this.options.onError);
     return ResultAsync.fromPromise(listening, (error) => error as Error).map(() => {
       const bound = this.server.address();
       return typeof bound === 'object' && bound ? `${bound.address}:${bound.port}` : address;
@@ -121,7 +121,7 @@
 
   /** Responds to a request that failed with an internal error; other requests continue. */
   private respondInternalError(res: http.ServerResponse, error: unknown): void {
-    this.options.failed(error);
+    this.options.onError(error);
     if (res.headersSent) res.destroy();
     else this.refuse(res, refusal(Outcome.UNKNOWN, INTERNAL_ERROR_ANSWER.reason));
   }
@@ -135,7 +135,7 @@
     const parsed = await this.parse(req, res, callerGone.signal);
     const answer = parsed.isOk() ? await this.submit(parsed.value, callerGone.signal) : undefined;
     if (callerGone.signal.aborted || !req.socket.writable) return;
-    res.setHeader('Magnoliakeel-Configuration', String(this.options.version()));
+    res.setHeader('Magnoliakeel-Configuration', String(this.options.configurationVersion()));
     if (this.closing || this.options.isLeaving()) res.setHeader('Connection', 'close');
     req.socket.setTimeout(this.options.limits.bodyTimeoutMs);
     if (parsed.isErr()) this.refuse(res, parsed.error);
@@ -151,7 +151,7 @@
       this.options
         .submit(submission, callerGone)
         .catch((error) => {
-          this.options.failed(error);
+          this.options.onError(error);
           return INTERNAL_ERROR_ANSWER;
         })
         .then(resolve)
@@ -175,7 +175,7 @@
     if (body.isErr()) return err(body.error);
     const version = parseVersion(req.headers);
     if (version.isErr()) return err(version.error);
-    if (!(await this.options.reached(version.value)))
+    if (!(await this.options.waitForVersion(version.value)))
       return err(notReadyRefusal(req, OLDER_CONFIGURATION_REASON));
     const manifest = this.options.manifest();
     if (!manifest) return err(notReadyRefusal(req, 'no configuration is in force yet'));
--- a/src/callers/CallerServerOptions.ts
+++ b/src/callers/CallerServerOptions.ts
@@ -17,12 +17,12 @@
   /** The active manifest; undefined before the first. */
   readonly manifest: () => Manifest | undefined;
   /** Version of the active manifest; 0 before the first. */
-  readonly version: () => bigint;
+  readonly configurationVersion: () => bigint;
   /** Waits a short time for this version or a newer one; resolves to whether it is active. */
-  readonly reached: (version: bigint) => Promise<boolean>;
+  readonly waitForVersion: (version: bigint) => Promise<boolean>;
   readonly isLeaving: () => boolean;
   /** Submits and resolves to the answer; the signal aborts when the caller no longer waits. */
   readonly submit: (submission: CallerSubmission, callerGone: AbortSignal) => Promise<Answer>;
   /** Called with each error that is a fault of this program. */
-  readonly failed: (error: unknown) => void;
+  readonly onError: (error: unknown) => void;
 }
--- a/src/claims/BatchClaims.ts
+++ b/src/claims/BatchClaims.ts
@@ -95,7 +95,7 @@
   }
 
   /** Opens the claim of a batch that has arrived; it has to be acquired before any of the batch runs. */
-  open(opts: Pick<LocalClaim, 'batch' | 'keptMs' | 'contested' | 'lost'>): LocalClaim {
+  open(opts: Pick<LocalClaim, 'batch' | 'keptMs' | 'onContested' | 'onLost'>): LocalClaim {
     const claim: LocalClaim = {
       ...opts,
       number: 0,
--- a/src/claims/ClaimRegistry.ts
+++ b/src/claims/ClaimRegistry.ts
@@ -52,13 +52,13 @@
   private pruneRecords(): void {
     const now = this.timer.now();
     // The oldest records may expire last, so expired ones are removed before the oldest.
-    if (this.records.size > claimLimits.notes) {
+    if (this.records.size > claimLimits.maxRecords) {
       this.records.forEach(({ expiry }, batch) => {
         if (expiry <= now) this.records.delete(batch);
       });
     }
     for (const [batch, { expiry }] of this.records) {
-      if (expiry > now && this.records.size <= claimLimits.notes) return;
+      if (expiry > now && this.records.size <= claimLimits.maxRecords) return;
       this.records.delete(batch);
     }
   }
--- a/src/claims/ConflictResolver.ts
+++ b/src/claims/ConflictResolver.ts
@@ -46,7 +46,7 @@
     const { peers } = this.opts.registrars;
     const peer = peers.byProcess(holder.incarnation);
     claim.isContested = true;
-    claim.contested();
+    claim.onContested();
     this.opts.log.info('a batch is already claimed by another entry', {
       request: claim.batch,
       claim: claim.number,
--- a/src/claims/HeldClaimRenewer.ts
+++ b/src/claims/HeldClaimRenewer.ts
@@ -83,6 +83,6 @@
       registrar,
     });
     metrics?.add('batch_claims_total', 1, 'taken');
-    claim.lost();
+    claim.onLost();
   }
 }
--- a/src/claims/LocalClaim.ts
+++ b/src/claims/LocalClaim.ts
@@ -6,9 +6,9 @@
   /** How long registrars keep the record of it, ms. */
   readonly keptMs: number;
   /** Called when another entry has claimed the batch and may have run some of it. */
-  readonly contested: () => void;
+  readonly onContested: () => void;
   /** Called when another entry has taken over the batch held here: its runs have to be stopped. */
-  readonly lost: () => void;
+  readonly onLost: () => void;
   /** Number of the last round in which it was requested. */
   number: number;
   /** `held`: this entry may run the batch. `following`: it waits for the holder. `claiming`: not known yet. */
--- a/src/claims/claimLimits.ts
+++ b/src/claims/claimLimits.ts
@@ -24,7 +24,7 @@
   /** How long after the start of the process batches wait for links to the other entries, at most. */
   startupLinksTimeoutMs: 1_000,
   /** Maximum number of claims that an entry records, about 4 MB; the oldest are dropped first. */
-  notes: 20_000,
+  maxRecords: 20_000,
 } as const;
 
 export default claimLimits;
--- a/src/core/Lateness.ts
+++ b/src/core/EventLoopLag.ts
@@ -5,7 +5,7 @@
  * Measures the event-loop lag of this process: by how much a periodic timer is overdue, now or when it was
  * last called. Every message that arrives waits as long, since the process handles one thing at a time.
  */
-export default class Lateness {
+export default class EventLoopLag {
   private dueAt: number;
 
   /** Delay of the timer's last call and of the one before it, ms. */
@@ -21,8 +21,8 @@
   }
 
   /** Starts the measurement. */
-  static watch(timer: TimerService): Lateness {
-    return new Lateness(timer);
+  static start(timer: TimerService): EventLoopLag {
+    return new EventLoopLag(timer);
   }
 
   /**
--- a/src/core/Versioned.ts
+++ b/src/core/Versioned.ts
@@ -40,7 +40,7 @@
   }
 
   /** Resolves with true once the value has this number or a higher one, or with false after the limit. */
-  async reached(number: bigint, timer: TimerService, limitMs: number): Promise<boolean> {
+  async waitForNumber(number: bigint, timer: TimerService, limitMs: number): Promise<boolean> {
     if (this.number >= number) return true;
     const reachedNumber = new AbortController();
     const unsubscribe = this.subscribe(() => {
--- a/src/core/listenProblem.ts
+++ b/src/core/describeListenError.ts
@@ -1,5 +1,5 @@
 /** Describes in words why listening on an address failed, given the error from Node. */
-export default function listenProblem(error: Error): string {
+export default function describeListenError(error: Error): string {
   const code = (error as NodeJS.ErrnoException).code ?? '';
   return problems[code] ?? error.message;
 }
--- a/src/core/ownersIn.ts
+++ b/src/core/eligibleOwners.ts
@@ -3,6 +3,6 @@
 }
 
 /** Incarnations of the members of a view that may own new jobs: all but those that are leaving. */
-export default function ownersIn({ members }: Members): string[] {
+export default function eligibleOwners({ members }: Members): string[] {
   return members.filter(({ leaving }) => !leaving).map(({ incarnation }) => incarnation);
 }
--- a/src/core/findUsageMistake.ts
+++ b/src/core/findUsageError.ts
@@ -5,7 +5,7 @@
  * Checks a parsed command line against the options and arguments of the command it names, or the
  * global ones. Returns a description of the first mistake, if there is one.
  */
-export default function findUsageMistake(cli: CAC): string | undefined {
+export default function findUsageError(cli: CAC): string | undefined {
   const command = cli.matchedCommand ?? cli.globalCommand;
   const known = new Set([...cli.globalCommand.options, ...command.options]);
   const names = [...known].flatMap((option) => option.names);
--- a/src/ctl/ManifestStore.ts
+++ b/src/ctl/ManifestStore.ts
@@ -32,7 +32,9 @@
 
   /** All manifests in the store, newest first. */
   listVersions(): ResultAsync<StoredManifest[], CommandFailure> {
-    const formerItems = new ResultAsync(this.withRetries(() => this.store.list(storeKeys.history)));
+    const formerItems = new ResultAsync(
+      this.withRetries(() => this.store.list(storeKeys.historyPrefix)),
+    );
     return formerItems
       .andThen(({ items }) => Result.combine(items.map(parseItem)))
       .andThen((former) => this.current().map((current) => [...former, current]))
@@ -62,7 +64,7 @@
     };
     return this.archive(planned)
       .andThen(() => this.replaceCurrent(next))
-      .map((stored): ApplyResult => ({ stored, done: stored?.applyId === next.applyId }))
+      .map((stored): ApplyResult => ({ stored, isApplied: stored?.applyId === next.applyId }))
       .andThen((result) => this.prune(result).map(() => result));
   }
 
@@ -92,8 +94,8 @@
   }
 
   /** Removes the oldest version once the limit is exceeded. If that fails, the extra version does no harm. */
-  private prune({ stored, done }: ApplyResult): ResultAsync<undefined, never> {
-    if (!done || stored!.version <= MAX_VERSIONS) return okAsync(undefined);
+  private prune({ stored, isApplied }: ApplyResult): ResultAsync<undefined, never> {
+    if (!isApplied || stored!.version <= MAX_VERSIONS) return okAsync(undefined);
     const removed = this.store.remove(historyKey(stored!.version - MAX_VERSIONS));
     return removed.map(() => undefined).orElse(() => okAsync(undefined));
   }
@@ -127,7 +129,7 @@
 /** What the store holds after an apply, and whether this apply wrote it. */
 interface ApplyResult {
   readonly stored: StoredManifest | undefined;
-  readonly done: boolean;
+  readonly isApplied: boolean;
 }
 
 /** Number of versions that are kept, including the active one. */
@@ -137,7 +139,7 @@
 const READ_RETRY_DELAY_MS = 200;
 
 function historyKey(version: number): string {
-  return `${storeKeys.history}${version}`;
+  return `${storeKeys.historyPrefix}${version}`;
 }
 
 function parseItem(
--- a/src/ctl/commitPlan.ts
+++ b/src/ctl/commitPlan.ts
@@ -33,8 +33,8 @@
     return err(conflictFailure(planned, current, changes));
   const applied = await store.apply(manifest, current, rollbackOf);
   if (applied.isErr()) return err(applied.error);
-  const { stored, done } = applied.value;
-  if (done) return ok(appliedReport(stored!, changes));
+  const { stored, isApplied } = applied.value;
+  if (isApplied) return ok(appliedReport(stored!, changes));
   const remaining = compareManifests(withDefaults(stored), manifest);
   return remaining.length === 0 && stored
     ? ok(unchangedReport(stored))
--- a/src/ctl/runCtl.ts
+++ b/src/ctl/runCtl.ts
@@ -1,7 +1,7 @@
 import { cac, type CAC } from 'cac';
 import type ExitCode from '../core/ExitCode';
 import exitCodes from '../core/exitCodes';
-import findUsageMistake from '../core/findUsageMistake';
+import findUsageError from '../core/findUsageError';
 import nearestWord from '../core/nearestWord';
 import type Terminal from '../core/Terminal';
 import version from '../core/version';
@@ -24,7 +24,7 @@
   const { options } = cli.parse(['node', NAME, ...argv], { run: false });
   if (options.help || options.version) return exitCodes.ok;
   const command = commands[cli.matchedCommandName ?? ''];
-  const mistake = command ? findUsageMistake(cli) : describeUnknownCommand(cli.args[0]);
+  const mistake = command ? findUsageError(cli) : describeUnknownCommand(cli.args[0]);
   if (!command || mistake !== undefined) {
     terminal.warn(`${NAME}: ${mistake}\nRun \`${NAME} --help\` for its use.`);
     return exitCodes.usage;
--- a/src/daemon/magnoliakeeld.ts
+++ b/src/daemon/magnoliakeeld.ts
@@ -4,7 +4,7 @@
 import Random from '../core/Random';
 import SystemTimer from '../core/SystemTimer';
 import createLogger from '../observe/createLogger';
-import ProcessFaults from '../observe/ProcessFaults';
+import UncaughtErrorHandler from '../observe/UncaughtErrorHandler';
 import randomSeed from './randomSeed';
 import runDaemon from './runDaemon';
 import stopReasons from './stopReasons';
@@ -19,14 +19,14 @@
 process.on('SIGTERM', stopOnce);
 process.on('SIGINT', stopOnce);
 
-const faults = ProcessFaults.create({
+const faults = UncaughtErrorHandler.create({
   timer: SystemTimer.create(),
   random: Random.fromSeed(randomSeed()),
   log: createLogger('error', process.stderr),
-  end: () => process.exit(exitCodes.internal),
-  leave: () => stop.abort(stopReasons.faults),
+  exit: () => process.exit(exitCodes.internal),
+  shutDown: () => stop.abort(stopReasons.faults),
 });
-process.on('uncaughtException', (error, origin) => faults.take(error, origin));
+process.on('uncaughtException', (error, origin) => faults.handleUncaught(error, origin));
 
 try {
   process.exitCode = await runDaemon(process.argv.slice(2), processTerminal, stop.signal, faults);
--- a/src/daemon/runDaemon.ts
+++ b/src/daemon/runDaemon.ts
@@ -1,11 +1,11 @@
 import { cac, type CAC } from 'cac';
 import type ExitCode from '../core/ExitCode';
 import exitCodes from '../core/exitCodes';
-import findUsageMistake from '../core/findUsageMistake';
+import findUsageError from '../core/findUsageError';
 import type Terminal from '../core/Terminal';
 import version from '../core/version';
 import createLogger from '../observe/createLogger';
-import type ProcessFaults from '../observe/ProcessFaults';
+import type UncaughtErrorHandler from '../observe/UncaughtErrorHandler';
 import formatFinding from '../settings/formatFinding';
 import loadSettings from '../settings/loadSettings';
 import readText from '../settings/readText';
@@ -25,12 +25,12 @@
   argv: readonly string[],
   terminal: Terminal,
   signal: AbortSignal,
-  faults?: ProcessFaults,
+  faults?: UncaughtErrorHandler,
 ): Promise<ExitCode> {
   const cli = createCli();
   const { options } = cli.parse(['node', NAME, ...argv], { run: false });
   if (options.help || options.version) return exitCodes.ok;
-  const mistake = findUsageMistake(cli) ?? findMissingConfig(options);
+  const mistake = findUsageError(cli) ?? findMissingConfig(options);
   if (mistake !== undefined) {
     terminal.warn(`${NAME}: ${mistake}\nRun \`${NAME} --help\` for its use.`);
     return exitCodes.usage;
@@ -83,7 +83,7 @@
   settings: Settings,
   terminal: Terminal,
   signal: AbortSignal,
-  faults?: ProcessFaults,
+  faults?: UncaughtErrorHandler,
 ): Promise<ExitCode> {
   const run = roles[settings.role] as RunRole<Settings> | undefined;
   if (!run) {
--- a/src/daemon/runEntry.ts
+++ b/src/daemon/runEntry.ts
@@ -1,6 +1,6 @@
 import type ExitCode from '../core/ExitCode';
 import exitCodes from '../core/exitCodes';
-import listenProblem from '../core/listenProblem';
+import describeListenError from '../core/describeListenError';
 import Random from '../core/Random';
 import SystemTimer from '../core/SystemTimer';
 import Entry from '../entry/Entry';
@@ -11,7 +11,7 @@
 import MeteredNetwork from '../observe/MeteredNetwork';
 import MeteredStore from '../observe/MeteredStore';
 import Metrics from '../observe/Metrics';
-import type ProcessFaults from '../observe/ProcessFaults';
+import type UncaughtErrorHandler from '../observe/UncaughtErrorHandler';
 import Traces from '../observe/Traces';
 import commonRoutes from '../operators/commonRoutes';
 import entryRoutes from '../operators/entryRoutes';
@@ -27,7 +27,7 @@
 export default async function runEntry(
   settings: EntrySettings,
   signal: AbortSignal,
-  faults?: ProcessFaults,
+  faults?: UncaughtErrorHandler,
 ): Promise<ExitCode> {
   const log = createLogger(settings.log.level);
   const timer = SystemTimer.create();
@@ -64,7 +64,7 @@
     operators: () => operators,
   });
   registerEntryMetrics(entry, metrics);
-  faults?.expose(metrics);
+  faults?.registerMetrics(metrics);
   const server = OperatorServer.create([
     ...commonRoutes({
       isReady: () => entry.isReady,
@@ -76,7 +76,7 @@
   const operatorsListening = await server.listen(settings.listen.operators);
   if (operatorsListening.isErr()) {
     log.error(
-      `cannot listen: ${settings.listen.operators}: ${listenProblem(operatorsListening.error)}`,
+      `cannot listen: ${settings.listen.operators}: ${describeListenError(operatorsListening.error)}`,
     );
     return exitCodes.cannotListen;
   }
@@ -90,7 +90,7 @@
   log.info(`entry ${settings.instance} listens for callers on ${callers}, for peers on ${peers}`);
   log.info(`listening for operators on ${operatorsListening.value}`);
   if (!tls.value) log.info('connections are without TLS: the settings name no certificates');
-  faults?.contain(() => workCountsOf(entry), log);
+  faults?.surviveErrors(() => workCountsOf(entry), log);
   const ended = await entry.run(AbortSignal.any([signal, drainRequested.signal]));
   await traces?.close();
   await server.close();
--- a/src/daemon/runSidecar.ts
+++ b/src/daemon/runSidecar.ts
@@ -1,19 +1,19 @@
 import type ExitCode from '../core/ExitCode';
 import exitCodes from '../core/exitCodes';
-import listenProblem from '../core/listenProblem';
+import describeListenError from '../core/describeListenError';
 import Random from '../core/Random';
 import SystemTimer from '../core/SystemTimer';
 import ConnectNetwork from '../link/ConnectNetwork';
 import createLogger from '../observe/createLogger';
 import MeteredNetwork from '../observe/MeteredNetwork';
 import Metrics from '../observe/Metrics';
-import type ProcessFaults from '../observe/ProcessFaults';
+import type UncaughtErrorHandler from '../observe/UncaughtErrorHandler';
 import Traces from '../observe/Traces';
 import commonRoutes from '../operators/commonRoutes';
 import OperatorServer from '../operators/OperatorServer';
 import reachableAddress from '../operators/reachableAddress';
 import type SidecarSettings from '../settings/SidecarSettings';
-import BackendDesk from '../sidecar/BackendDesk';
+import AnnouncementServer from '../sidecar/AnnouncementServer';
 import registerSidecarMetrics from '../sidecar/registerSidecarMetrics';
 import Sidecar from '../sidecar/Sidecar';
 import SidecarCounters from '../sidecar/SidecarCounters';
@@ -26,7 +26,7 @@
 export default async function runSidecar(
   settings: SidecarSettings,
   signal: AbortSignal,
-  faults?: ProcessFaults,
+  faults?: UncaughtErrorHandler,
 ): Promise<ExitCode> {
   const { cluster, instance, zone, entries, links, heartbeat } = settings;
   const log = createLogger(settings.log.level);
@@ -61,11 +61,11 @@
     skewMs: settings.ledger.clockSkewMs,
     renewMs: settings.backend.renewMs,
     drainMs: settings.stop.drainMs,
-    operators: () => operators,
+    operatorsAddress: () => operators,
     log: (line) => log.info(line),
   });
   registerSidecarMetrics(sidecar, counters, metrics);
-  faults?.expose(metrics);
+  faults?.registerMetrics(metrics);
   const server = OperatorServer.create(
     commonRoutes({
       isReady: () => sidecar.isReady,
@@ -73,14 +73,14 @@
       drain: () => drainRequested.abort(),
     }),
   );
-  const desk = BackendDesk.create({
-    announce: (backend) => sidecar.announce(backend),
-    withdraw: () => sidecar.withdrawBackend(),
+  const desk = AnnouncementServer.create({
+    onAnnounce: (backend) => sidecar.announce(backend),
+    onWithdraw: () => sidecar.withdrawBackend(),
   });
   const operatorsListening = await server.listen(settings.listen.operators);
   if (operatorsListening.isErr()) {
     log.error(
-      `cannot listen: ${settings.listen.operators}: ${listenProblem(operatorsListening.error)}`,
+      `cannot listen: ${settings.listen.operators}: ${describeListenError(operatorsListening.error)}`,
     );
     return exitCodes.cannotListen;
   }
@@ -90,11 +90,11 @@
     const address = await desk.listen(settings.listen.backend);
     log.info(`sidecar ${instance} listens for its backend server on ${address}`);
   } catch (error) {
-    log.error(`cannot listen: ${settings.listen.backend}: ${listenProblem(error as Error)}`);
+    log.error(`cannot listen: ${settings.listen.backend}: ${describeListenError(error as Error)}`);
     return exitCodes.cannotListen;
   }
   if (!tls.value) log.info('connections are without TLS: the settings name no certificates');
-  faults?.contain(
+  faults?.surviveErrors(
     () => ({ tasksRunning: sidecar.runningCount, entryLinks: sidecar.linkCount }),
     log,
   );
--- a/src/dispatch/Dispatcher.ts
+++ b/src/dispatch/Dispatcher.ts
@@ -100,7 +100,7 @@
       bySidecar.set(sidecar, [...(bySidecar.get(sidecar) ?? []), task]);
     });
     bySidecar.forEach((cancelled, sidecar) => {
-      this.options.metrics?.wasted('cancelled', cancelled.length);
+      this.options.metrics?.messagesWasted('cancelled', cancelled.length);
       const value = create(CancelSchema, { tasks: cancelled.map(taskIdOf) });
       this.send(sidecar, { case: 'cancel', value });
     });
@@ -164,7 +164,7 @@
       this.recordOutcome(run, done.status);
       this.settleFinished(run.task, done);
     } else {
-      this.options.metrics?.wasted('result_untaken');
+      this.options.metrics?.messagesWasted('result_untaken');
     }
     const service = run?.task.service ?? peer.services[0];
     if (service === undefined) return;
@@ -427,7 +427,7 @@
     const value = create(BorrowSchema, { service: state.service, wanted: state.queue.length });
     if (this.options.sendToEntry(entry, { case: 'borrow', value })) {
       state.awaitedLender = entry;
-      this.options.metrics?.borrowAsked(state.service);
+      this.options.metrics?.borrowRequested(state.service);
     } else {
       this.entryLoads.remove(entry);
     }
--- a/src/dispatch/traceStart.ts
+++ b/src/dispatch/traceStart.ts
@@ -26,7 +26,7 @@
   { policy, place, peer, idle, queued }: StartDecision,
 ): string {
   const since = task.requeued?.at ?? task.queuedAt;
-  const span = tracer?.hop('queue', SpanKind.INTERNAL, task.traceparent, since);
+  const span = tracer?.startHop('queue', SpanKind.INTERNAL, task.traceparent, since);
   if (!span) return task.traceparent;
   const { index, attempt, team, service } = task;
   span.set({ service, team, task: index, attempt, policy });
--- a/src/entry/Entry.ts
+++ b/src/entry/Entry.ts
@@ -3,9 +3,9 @@
 import CallerServer from '../callers/CallerServer';
 import type CallerSubmission from '../callers/CallerSubmission';
 import isMember from '../core/isMember';
-import listenProblem from '../core/listenProblem';
+import describeListenError from '../core/describeListenError';
 import ownerOf from '../core/ownerOf';
-import ownersIn from '../core/ownersIn';
+import eligibleOwners from '../core/eligibleOwners';
 import Versioned from '../core/Versioned';
 import Dispatcher from '../dispatch/Dispatcher';
 import {
@@ -146,7 +146,7 @@
     if (peers.isErr()) return err(peers.error);
     const { listen } = this.options.settings;
     const callers = await this.callers.listen(listen.callers);
-    if (callers.isErr()) return err(`${listen.callers}: ${listenProblem(callers.error)}`);
+    if (callers.isErr()) return err(`${listen.callers}: ${describeListenError(callers.error)}`);
     this.addresses = { callers: callers.value, peers: peers.value };
     return ok(this.addresses);
   }
@@ -331,7 +331,7 @@
   }
 
   private ownsKey(key: string): boolean {
-    return ownerOf(key, ownersIn(this.views.current)) === this.self;
+    return ownerOf(key, eligibleOwners(this.views.current)) === this.self;
   }
 
   private createDispatcher(): Dispatcher {
@@ -510,13 +510,14 @@
       limits: settings.limits,
       tls: this.options.tls,
       manifest: () => this.callersManifest,
-      version: () => this.configurations.number,
-      reached: (version) => this.configurations.reached(version, timer, VERSION_WAIT_MS),
+      configurationVersion: () => this.configurations.number,
+      waitForVersion: (version) =>
+        this.configurations.waitForNumber(version, timer, VERSION_WAIT_MS),
       timer,
       random,
       isLeaving: () => this.leaving,
       submit: (submission, callerGone) => this.submit(submission, callerGone),
-      failed: (error) =>
+      onError: (error) =>
         log.error(`internal error while serving a request: ${(error as Error).stack ?? error}`),
     });
   }
--- a/src/entry/JobTable.ts
+++ b/src/entry/JobTable.ts
@@ -172,7 +172,7 @@
   }
 
   private joinDuplicate(job: Job, submission: Submission): Promise<OwnerReply> {
-    this.options.metrics?.wasted('duplicate_submission');
+    this.options.metrics?.messagesWasted('duplicate_submission');
     return this.join(job, submission);
   }
 
@@ -202,7 +202,7 @@
     if (pending) return pending;
     const recovery = this.options.recover(key, createdMs);
     this.recoveries.set(key, recovery);
-    recovery.then(({ kind }) => this.options.metrics?.jobResolved(kind));
+    recovery.then(({ kind }) => this.options.metrics?.jobStateRecovered(kind));
     recovery.finally(() => this.recoveries.delete(key));
     return recovery;
   }
@@ -311,7 +311,7 @@
 
   private recordTaskMetrics(job: Job, { status, runMs }: TaskResult, queuedAt: number): void {
     const { metrics, timer } = this.options;
-    if (job.isAnswered) metrics?.wasted('result_untaken');
+    if (job.isAnswered) metrics?.messagesWasted('result_untaken');
     else metrics?.taskSettled(job.service, status, timer.now() - queuedAt, runMs);
   }
 
--- a/src/entry/Router.ts
+++ b/src/entry/Router.ts
@@ -1,7 +1,7 @@
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import jobKey from '../core/jobKey';
 import ownerOf from '../core/ownerOf';
-import ownersIn from '../core/ownersIn';
+import eligibleOwners from '../core/eligibleOwners';
 import {
   type Answer,
   AnswerSchema,
@@ -90,7 +90,7 @@
 
   private waitForVersion(version: bigint): Promise<boolean> {
     const { configurations, timer } = this.options;
-    return configurations.reached(version, timer, VERSION_WAIT_MS);
+    return configurations.waitForNumber(version, timer, VERSION_WAIT_MS);
   }
 
   private async tryOwner(submission: Submission, callerGone: AbortSignal): Promise<OwnerAttempt> {
@@ -130,7 +130,7 @@
   }
 
   private ownerOf({ service, kind, id }: Submission): Member | undefined {
-    const name = ownerOf(jobKey(service, kind, id), ownersIn(this.options.views.current));
+    const name = ownerOf(jobKey(service, kind, id), eligibleOwners(this.options.views.current));
     return name === undefined ? undefined : this.memberOf(name);
   }
 
--- a/src/entry/registerEntryMetrics.ts
+++ b/src/entry/registerEntryMetrics.ts
@@ -8,21 +8,23 @@
     entry.dispatcher
       .serviceLoads()
       .map((load) => ({ labels: [load.service], value: valueOf(load) }));
-  metrics.read(
+  metrics.setSource(
     'queue_length',
     byService(({ queued }) => queued),
   );
-  metrics.read(
+  metrics.setSource(
     'idle_credits',
     byService(({ idle }) => idle),
   );
-  metrics.read('tasks_running', () => [{ value: entry.dispatcher.inFlight }]);
-  metrics.read('jobs_open', () => [{ value: entry.jobs.openCount }]);
-  metrics.read('job_records', () => [{ value: entry.jobs.size }]);
-  metrics.read('linked_sidecars', () => [
+  metrics.setSource('tasks_running', () => [{ value: entry.dispatcher.inFlight }]);
+  metrics.setSource('jobs_open', () => [{ value: entry.jobs.openCount }]);
+  metrics.setSource('job_records', () => [{ value: entry.jobs.size }]);
+  metrics.setSource('linked_sidecars', () => [
     { value: entry.sidecarLinks.all().filter(({ link }) => link).length },
   ]);
-  metrics.read('linked_entries', () => [{ value: entry.entryLinks.linked().length }]);
-  metrics.read('view_number', () => [{ value: Number(entry.views.number) }]);
-  metrics.read('configuration_version', () => [{ value: Number(entry.configurations.number) }]);
+  metrics.setSource('linked_entries', () => [{ value: entry.entryLinks.linked().length }]);
+  metrics.setSource('view_number', () => [{ value: Number(entry.views.number) }]);
+  metrics.setSource('configuration_version', () => [
+    { value: Number(entry.configurations.number) },
+  ]);
 }
--- a/src/entry/traceForward.ts
+++ b/src/entry/traceForward.ts
@@ -13,7 +13,7 @@
   { instance, zone }: Member,
   forward: (submission: Submission) => Promise<Reply>,
 ): Promise<Reply> {
-  const span = tracer?.hop('forward', SpanKind.CLIENT, submission.traceparent);
+  const span = tracer?.startHop('forward', SpanKind.CLIENT, submission.traceparent);
   if (!span) return forward(submission);
   span.set({ 'owner.instance': instance, 'owner.zone': zone });
   const reply = await forward({ ...submission, traceparent: span.traceparent });
--- a/src/entry/traceRequest.ts
+++ b/src/entry/traceRequest.ts
@@ -10,7 +10,7 @@
   answerTo: (request: CallerSubmission) => Promise<Answer>,
 ): Promise<Answer> {
   const { submission } = request;
-  const span = tracer?.request('request', submission.traceparent);
+  const span = tracer?.startRequest('request', submission.traceparent);
   if (!span) return answerTo(request);
   const { service, kind, id, team, inputs, action } = submission;
   span.set({ service, kind, id, team, tasks: inputs.length, action: actions[action]! });
--- a/src/link/PeerServer.ts
+++ b/src/link/PeerServer.ts
@@ -18,7 +18,7 @@
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import DEFAULT_PORT from '../core/DEFAULT_PORT';
 import hostAndPort from '../core/hostAndPort';
-import listenProblem from '../core/listenProblem';
+import describeListenError from '../core/describeListenError';
 import openServer from '../core/openServer';
 import type TimerService from '../core/TimerService';
 import { type Hello, Peer } from '../gen/magnoliakeel/v1/peer_pb';
@@ -101,7 +101,7 @@
     const endpoint = hostAndPort(new URL(`http://${address}`), DEFAULT_PORT);
     return openServer(this.server, endpoint, (error) => this.handlers.onError?.(error)).then(
       () => ok(this),
-      (cause: Error) => err({ kind: 'unreachable', reason: listenProblem(cause) }),
+      (cause: Error) => err({ kind: 'unreachable', reason: describeListenError(cause) }),
     );
   }
 
--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -68,7 +68,7 @@
 
   private constructor(private readonly options: MembershipOptions) {
     const { store, random, self, leaseMs } = options;
-    const key = storeKeys.entries + self.incarnation;
+    const key = storeKeys.entryPrefix + self.incarnation;
     this.leasedKey = LeasedKey.of(store, key, toJsonString(MemberSchema, self), leaseMs);
     this.retryBackoff = Backoff.of(
       FIRST_RETRY_DELAY_MS,
@@ -223,7 +223,7 @@
     const expired = new Set<string>();
     await Promise.all(
       this.suspects(view).map(async ({ incarnation }) => {
-        const leaseKey = await store.get(storeKeys.entries + incarnation);
+        const leaseKey = await store.get(storeKeys.entryPrefix + incarnation);
         if (leaseKey.isOk() && leaseKey.value === undefined) expired.add(incarnation);
       }),
     );
--- a/src/membership/StoreWatch.ts
+++ b/src/membership/StoreWatch.ts
@@ -145,9 +145,9 @@
 }
 
 function isLeaseKey(key: string): boolean {
-  return key.startsWith(storeKeys.entries);
+  return key.startsWith(storeKeys.entryPrefix);
 }
 
 function incarnationOf(key: string): string {
-  return key.slice(storeKeys.entries.length);
+  return key.slice(storeKeys.entryPrefix.length);
 }
--- a/src/membership/storeKeys.ts
+++ b/src/membership/storeKeys.ts
@@ -3,8 +3,8 @@
   view: 'view',
   manifest: 'manifest',
   /** Prefix of replaced manifests, followed by the version. */
-  history: 'history/',
+  historyPrefix: 'history/',
   /** Prefix of the lease keys, followed by the incarnation of a live entry. */
-  entries: 'entries/',
+  entryPrefix: 'entries/',
 } as const;
 export default storeKeys;
--- a/src/observe/DialLog.ts
+++ b/src/observe/DialLog.ts
@@ -29,7 +29,7 @@
   }
 
   /** Records the result of a dial: the reason of its failure, or undefined for success. */
-  dialled(address: string, reason: string | undefined): void {
+  logDial(address: string, reason: string | undefined): void {
     if (reason === undefined) this.reached(address);
     else this.failed(address, reason);
   }
--- a/src/observe/EntryMetrics.ts
+++ b/src/observe/EntryMetrics.ts
@@ -43,16 +43,16 @@
 
   /** A start was refused. */
   startRefused(cause: RefusalCause): void {
-    this.wasted(`refused_${refusals[cause]}`);
+    this.messagesWasted(`refused_${refusals[cause]}`);
   }
 
   /** Messages had no effect. */
-  wasted(cause: string, messages = 1): void {
+  messagesWasted(cause: string, messages = 1): void {
     this.metrics.add('wasted_messages_total', messages, cause);
   }
 
   /** Another entry was asked for idle credits. */
-  borrowAsked(service: string): void {
+  borrowRequested(service: string): void {
     this.metrics.add('borrow_asks_total', 1, service);
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** The state of a job without a record here was recovered. */
-  jobResolved(provenance: string): void {
+  jobStateRecovered(provenance: string): void {
     this.metrics.add('provenances_total', 1, provenance);
   }
 
--- a/src/observe/LineSink.ts
+++ b/src/observe/LineSink.ts
@@ -10,7 +10,7 @@
     return new LineSink(stream);
   }
 
-  take(batch: Uint8Array): ResultAsync<void, string> {
+  exportBatch(batch: Uint8Array): ResultAsync<void, string> {
     if (this.stream.writableNeedDrain) return errAsync('the buffer of the output stream is full');
     this.stream.write(`${Buffer.from(batch).toString()}\n`);
     return okAsync();
--- a/src/observe/Metrics.ts
+++ b/src/observe/Metrics.ts
@@ -3,7 +3,7 @@
 import type MetricName from './MetricName';
 import type MetricRow from './MetricRow';
 import metricTable from './metricTable';
-import type Reading from './Reading';
+import type MetricReading from './MetricReading';
 import WindowedHistogram from './WindowedHistogram';
 
 /**
@@ -17,7 +17,7 @@
 
   private readonly histograms = new Map<string, Map<string, WindowedHistogram>>();
 
-  private readonly sources = new Map<string, () => Iterable<Reading>>();
+  private readonly sources = new Map<string, () => Iterable<MetricReading>>();
 
   private constructor(
     private readonly timer: TimerService,
@@ -27,8 +27,8 @@
     rows
       .filter(([, row]) => row.roles.includes(role))
       .forEach(([name, row]) => this.register(name, row));
-    this.read('process_cpu_seconds_total', readCpu);
-    this.read('process_resident_bytes', () => [{ value: process.memoryUsage.rss() }]);
+    this.setSource('process_cpu_seconds_total', readCpu);
+    this.setSource('process_resident_bytes', () => [{ value: process.memoryUsage.rss() }]);
   }
 
   /** Creates the metrics that the table lists for a role, all at zero. */
@@ -57,7 +57,7 @@
   }
 
   /** Sets the function that supplies a gauge, or a counter kept elsewhere, each time metrics are rendered. */
-  read(name: MetricName<'gauge' | 'counter'>, source: () => Iterable<Reading>): void {
+  setSource(name: MetricName<'gauge' | 'counter'>, source: () => Iterable<MetricReading>): void {
     this.sources.set(name, source);
   }
 
@@ -129,7 +129,7 @@
   return Object.fromEntries(row.labels.map((label, index) => [label, values[index] ?? '']));
 }
 
-function readCpu(): Reading[] {
+function readCpu(): MetricReading[] {
   const { user, system } = process.cpuUsage();
   return [{ value: (user + system) / 1e6 }];
 }
--- a/src/observe/OtlpSink.ts
+++ b/src/observe/OtlpSink.ts
@@ -22,7 +22,7 @@
     return new OtlpSink(new URL(url));
   }
 
-  take(batch: Uint8Array): ResultAsync<void, string> {
+  exportBatch(batch: Uint8Array): ResultAsync<void, string> {
     return ResultAsync.fromPromise(this.post(batch), (error) => (error as Error).message).andThen(
       (status) => (status >= 200 && status < 300 ? okAsync() : errAsync(`status ${status}`)),
     );
--- a/src/observe/SpanBuffer.ts
+++ b/src/observe/SpanBuffer.ts
@@ -71,7 +71,7 @@
 
   private async export(batch: readonly Span[]): Promise<void> {
     const { sink, metrics, resource } = this.options;
-    const exported = await sink.take(serializeSpans(batch, resource));
+    const exported = await sink.exportBatch(serializeSpans(batch, resource));
     if (exported.isOk()) metrics.add('spans_exported_total', batch.length);
     else metrics.add('spans_dropped_total', batch.length, 'failed');
   }
--- a/src/observe/Tracer.ts
+++ b/src/observe/Tracer.ts
@@ -14,7 +14,7 @@
   /** Share of the requests without a `traceparent` that are traced, from 0 to 1. */
   readonly sample: number;
   /** Called with each span that has ended. */
-  readonly ended: (span: Span) => void;
+  readonly onEnd: (span: Span) => void;
 }
 
 /**
@@ -39,7 +39,7 @@
   }
 
   /** Starts the span of a caller's request; undefined when it is not traced. */
-  request(name: string, traceparent: string): Span | undefined {
+  startRequest(name: string, traceparent: string): Span | undefined {
     const parent = parentOf(traceparent);
     if (parent) return isSampled(parent) ? this.begin(name, SpanKind.SERVER, parent) : undefined;
     const { sample, random } = this.options;
@@ -51,7 +51,12 @@
    * Starts the span of a further hop; undefined when the request is not traced.
    * @param startedAt when the hop began, in the timer service's monotonic time; now by default
    */
-  hop(name: string, kind: SpanKind, traceparent: string, startedAt?: number): Span | undefined {
+  startHop(
+    name: string,
+    kind: SpanKind,
+    traceparent: string,
+    startedAt?: number,
+  ): Span | undefined {
     if (traceparent === '') return undefined;
     const parent = parentOf(traceparent);
     return parent && isSampled(parent) ? this.begin(name, kind, parent, startedAt) : undefined;
@@ -74,7 +79,7 @@
       context,
       parent,
       startMs: this.wallTimeOf(startedAt),
-      onEnd: this.options.ended,
+      onEnd: this.options.onEnd,
       now: () => this.wallTimeOf(this.options.timer.now()),
     });
   }
--- a/src/observe/Traces.ts
+++ b/src/observe/Traces.ts
@@ -42,7 +42,7 @@
     const buffer = SpanBuffer.create({ timer, metrics, sink, resource });
     const { sample } = settings.traces;
     const ended = buffer.add.bind(buffer);
-    const tracer = Tracer.create({ timer, random, incarnation, sample, ended });
+    const tracer = Tracer.create({ timer, random, incarnation, sample, onEnd: ended });
     return new Traces(tracer, buffer);
   }
 
--- a/src/observe/ProcessFaults.ts
+++ b/src/observe/UncaughtErrorHandler.ts
@@ -17,9 +17,9 @@
   readonly random: Random;
   readonly log: FaultLog;
   /** Exits at once, for a process that does not serve requests yet. */
-  readonly end: () => void;
+  readonly exit: () => void;
   /** Shuts the process down gracefully, as for a planned stop, with the exit code for faults. */
-  readonly leave: () => void;
+  readonly shutDown: () => void;
 }
 
 /**
@@ -27,7 +27,7 @@
  * counted, and the process goes on, so that one error does not end all its work. When errors keep
  * occurring, the process shuts down gracefully, so that a new one takes its place.
  */
-export default class ProcessFaults {
+export default class UncaughtErrorHandler {
   private readonly counts = new Map<string, number>();
 
   private readonly rate = ErrorRate.create();
@@ -50,30 +50,30 @@
   }
 
   /** Creates the handler for a process that is starting: any error ends it before it serves requests. */
-  static create(opts: ProcessFaultsOptions): ProcessFaults {
-    return new ProcessFaults(opts);
+  static create(opts: ProcessFaultsOptions): UncaughtErrorHandler {
+    return new UncaughtErrorHandler(opts);
   }
 
   /** Marks the process as serving requests, so that it goes on after errors; a given log replaces the first one. */
-  contain(workCounts: () => WorkCounts, log = this.log): void {
+  surviveErrors(workCounts: () => WorkCounts, log = this.log): void {
     this.workCounts = workCounts;
     this.log = log;
   }
 
   /** Registers the count of errors with the metrics of the process. */
-  expose(metrics: Metrics): void {
-    metrics.read('faults_total', () =>
+  registerMetrics(metrics: Metrics): void {
+    metrics.setSource('faults_total', () =>
       [...this.counts].map(([origin, value]) => ({ labels: [origin], value })),
     );
   }
 
   /** Handles an error with its origin, both as given by the process's event 'uncaughtException'. */
-  take(error: unknown, origin: string): void {
+  handleUncaught(error: unknown, origin: string): void {
     this.counts.set(origin, (this.counts.get(origin) ?? 0) + 1);
     const now = this.opts.timer.now();
     if (this.rate.add(now) <= uncaughtErrorLimits.loggedPerSlice) this.logError(error, origin);
     else this.unloggedErrors += 1;
-    if (!this.workCounts) this.opts.end();
+    if (!this.workCounts) this.opts.exit();
     else if (!this.isShuttingDown && this.rate.isPersistent(now)) this.scheduleShutdown();
   }
 
@@ -107,7 +107,7 @@
       pauseMs,
     });
     timer.after(pauseMs, () => {
-      if (this.rate.isPersistent(timer.now())) this.opts.leave();
+      if (this.rate.isPersistent(timer.now())) this.opts.shutDown();
       else this.cancelShutdown();
     });
   }
--- a/src/peering/pulseTimings.ts
+++ b/src/peering/pulseTimings.ts
@@ -12,27 +12,27 @@
    * killing them takes some 100 ms. Apart from that the time is long: an entry that is only busy may lag
    * by this time less one interval before the runs that it has dispatched are discarded.
    */
-  ownerSilenceMs: 900,
+  ownerTimeoutMs: 900,
   /**
    * Up to this age of the newest confirmation of an entry, the lease on its runs is renewed in full; beyond it the
    * end of the lease is no longer moved. So a run that cannot be stopped has ended when callers resubmit, and other
    * runs on the same backend server have 300 ms left for the stop to be confirmed.
    */
-  prolongMs: 400,
+  leaseExtensionLimitMs: 400,
   /**
    * After this long without a message from a sidecar an entry dispatches no more tasks to it: one interval
    * plus the lag of a busy process. A wrong suspicion costs nothing while others have free capacity; each task
    * dispatched to an isolated sidecar delays its whole batch.
    */
-  suspectMs: 500,
+  suspectAfterMs: 500,
   /** After this long without a sidecar's pulse an entry closes the link. */
-  closeMs: 1_500,
+  closeAfterMs: 1_500,
   /**
    * How often a process checks whether it was paused. The idle time before a pause counts as part of it. An entry
    * gives up the batches that it has accepted, and wakes as often to measure its lag anyway; a sidecar only asks
    * its entries.
    */
-  watchIntervalMs: { entry: 100, sidecar: 400 },
+  pauseCheckIntervalMs: { entry: 100, sidecar: 400 },
   /**
    * A pause of this process, or a difference between its two clocks, after which callers may have turned to
    * other entries: they do after 1,300 ms. A busy process may lag by half a second without a pause.
--- a/src/recovery/Recovery.ts
+++ b/src/recovery/Recovery.ts
@@ -1,6 +1,6 @@
 import { create } from '@bufbuild/protobuf';
 import ownerOf from '../core/ownerOf';
-import ownersIn from '../core/ownersIn';
+import eligibleOwners from '../core/eligibleOwners';
 import {
   ClaimRequestSchema,
   type ClaimResponse,
@@ -199,7 +199,7 @@
     const { current } = views;
     const owners =
       number === current.number
-        ? ownersIn(current)
+        ? eligibleOwners(current)
         : current.past.find((past) => past.number === number)?.incarnations;
     return owners !== undefined && ownerOf(job, owners) === self;
   }
--- a/src/runs/BackendLease.ts
+++ b/src/runs/BackendLease.ts
@@ -62,7 +62,7 @@
    * on, whether they can be stopped or not.
    */
   renew(silentMs = 0): number {
-    const overdueMs = Math.max(0, silentMs - pulseTimings.prolongMs);
+    const overdueMs = Math.max(0, silentMs - pulseTimings.leaseExtensionLimitMs);
     const expiry = Math.floor(this.clock.estimate() + runLimits.leaseMs - overdueMs);
     this.latestExpiry = Math.max(this.latestExpiry, expiry);
     return this.latestExpiry;
--- a/src/runs/EntryLink.ts
+++ b/src/runs/EntryLink.ts
@@ -99,7 +99,7 @@
     const { confirmedAt } = this;
     if (this.isClosed || confirmedAt === undefined || confirmedAt < this.ignoreEchoesBefore)
       return false;
-    return this.opts.timer.now() - confirmedAt < pulseTimings.ownerSilenceMs;
+    return this.opts.timer.now() - confirmedAt < pulseTimings.ownerTimeoutMs;
   }
 
   /**
@@ -119,7 +119,7 @@
    */
   checkAndPulse(): void {
     this.stopIfSilent();
-    if (Math.min(this.silentMs, this.sincePauseMs) >= pulseTimings.closeMs) {
+    if (Math.min(this.silentMs, this.sincePauseMs) >= pulseTimings.closeAfterMs) {
       this.opts.link.close(true);
       return;
     }
@@ -154,7 +154,7 @@
 
   /** The proof may expire between two pulses; the timer notices that in time. */
   private scheduleSilenceCheck(): void {
-    const leftMs = pulseTimings.ownerSilenceMs - this.silentMs;
+    const leftMs = pulseTimings.ownerTimeoutMs - this.silentMs;
     if (leftMs <= 0 || leftMs >= pulseTimings.intervalMs) return;
     this.silenceTimer = this.opts.timer.after(leftMs, () => this.stopIfSilent());
   }
@@ -162,7 +162,7 @@
   private stopIfSilent(): void {
     const { backend, link, log } = this.opts;
     const { silentMs } = this;
-    if (silentMs < pulseTimings.ownerSilenceMs) return;
+    if (silentMs < pulseTimings.ownerTimeoutMs) return;
     log.warn('an entry is unresponsive: its runs are stopped', {
       entry: link.peer.instance,
       silentMs: Math.round(silentMs),
--- a/src/runs/RUN_END_BOUND_MS.ts
+++ b/src/runs/RUN_END_BOUND_MS.ts
@@ -15,7 +15,7 @@
    * After the last proof that the entry which requested them is alive: the sidecar's limit for silence, a lease
    * renewed at the end of that, and the time for killing.
    */
-  afterConfirmation: pulseTimings.ownerSilenceMs + LEASE_END_BOUND_MS,
+  afterConfirmation: pulseTimings.ownerTimeoutMs + LEASE_END_BOUND_MS,
   /** After the entry's process has ended: its sidecars stop them, or their leases expire. */
   afterProcessEnd: LEASE_END_BOUND_MS,
 } as const;
--- a/src/runs/RunSidecar.ts
+++ b/src/runs/RunSidecar.ts
@@ -89,14 +89,16 @@
       hello: (session) => this.hello(session),
       serve: (link) => this.serve(link),
       onDial: (address, failure) => {
-        dials.dialled(address, failure);
+        dials.logDial(address, failure);
         if (this.entrySelector.recordDial(address, failure === undefined)) this.updateDials();
       },
       onError: (address, error) => log.warn('serving a link failed', { address, error }),
     });
     this.addresses = KnownAddresses.create(timer, seeds, () => this.updateDials());
-    this.pauseDetector = PauseDetector.start(timer, pulseTimings.watchIntervalMs.sidecar, (gapMs) =>
-      this.handlePause(gapMs),
+    this.pauseDetector = PauseDetector.start(
+      timer,
+      pulseTimings.pauseCheckIntervalMs.sidecar,
+      (gapMs) => this.handlePause(gapMs),
     );
     this.timers = [
       timer.every(pulseTimings.intervalMs, () => {
--- a/src/sidecar/BackendDesk.ts
+++ b/src/sidecar/AnnouncementServer.ts
@@ -9,14 +9,14 @@
 const MAX_BODY_BYTES = 65_536;
 const validate = new Ajv({ allErrors: true }).compile<Announcement>(announcementSchema);
 
-interface BackendDeskOptions {
+interface AnnouncementServerOptions {
   /**
    * Accepts or renews an announcement. Returns the renewal interval in
    * milliseconds, or undefined while the sidecar is shutting down.
    */
-  readonly announce: (backend: Announcement) => number | undefined;
+  readonly onAnnounce: (backend: Announcement) => number | undefined;
   /** Withdraws the announcement. */
-  readonly withdraw: () => void;
+  readonly onWithdraw: () => void;
 }
 
 interface Answer {
@@ -30,7 +30,7 @@
  * The HTTP server to which a backend server announces itself: `PUT /v1/backend`
  * announces or renews, `DELETE /v1/backend` withdraws the announcement.
  */
-export default class BackendDesk {
+export default class AnnouncementServer {
   private readonly server: Server;
 
   private readonly handlers: Readonly<Record<string, Handler>> = {
@@ -38,15 +38,15 @@
     DELETE: () => this.handleDelete(),
   };
 
-  private constructor(private readonly opts: BackendDeskOptions) {
+  private constructor(private readonly opts: AnnouncementServerOptions) {
     this.server = createServer((req, res) => {
       this.serve(req, res).catch(() => res.destroy());
     });
   }
 
   /** Creates a server that does not listen yet. */
-  static create(opts: BackendDeskOptions): BackendDesk {
-    return new BackendDesk(opts);
+  static create(opts: AnnouncementServerOptions): AnnouncementServer {
+    return new AnnouncementServer(opts);
   }
 
   /** Listens on "ip:port" and returns the bound address. Rejects when the address cannot be bound. */
@@ -86,13 +86,13 @@
   private async handlePut(req: IncomingMessage): Promise<Answer> {
     const announcement = parseAnnouncement(await readRequestText(req));
     if (announcement.isErr()) return errorAnswer(400, announcement.error);
-    const renewMs = this.opts.announce(announcement.value);
+    const renewMs = this.opts.onAnnounce(announcement.value);
     if (renewMs === undefined) return errorAnswer(503, ['the sidecar is leaving']);
     return { status: 200, body: { renewMs } };
   }
 
   private handleDelete(): Answer {
-    this.opts.withdraw();
+    this.opts.onWithdraw();
     return { status: 200, body: {} };
   }
 }
--- a/src/sidecar/BackendClient.ts
+++ b/src/sidecar/BackendClient.ts
@@ -18,5 +18,5 @@
   ): ResultAsync<BackendAnswer, BackendError>;
 
   /** Closes the idle connections to a backend server that has left. */
-  forget(backend: Announcement): void;
+  closeIdle(backend: Announcement): void;
 }
--- a/src/sidecar/Ledger.ts
+++ b/src/sidecar/Ledger.ts
@@ -61,7 +61,7 @@
   }
 
   /** Records a start. The attempt must not be recorded yet. */
-  record(task: TaskId, start: Start): LedgerTask {
+  recordStart(task: TaskId, start: Start): LedgerTask {
     const job = this.jobs.get(task.job) ?? this.addJob(task.job, start);
     job.owner = start.owner;
     const record: LedgerTask = { index: task.index, attempt: task.attempt };
@@ -71,7 +71,7 @@
   }
 
   /** Records the result of a started task. A later result is ignored. */
-  finish(record: LedgerTask, result: NonNullable<LedgerTask['result']>): void {
+  recordResult(record: LedgerTask, result: NonNullable<LedgerTask['result']>): void {
     if (record.result) return;
     Object.assign(record, { result });
     this.bytes += resultBytes(record);
--- a/src/sidecar/LedgerResponder.ts
+++ b/src/sidecar/LedgerResponder.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
 import type Versioned from '../core/Versioned';
 import ownerOf from '../core/ownerOf';
-import ownersIn from '../core/ownersIn';
+import eligibleOwners from '../core/eligibleOwners';
 import {
   AdoptedSchema,
   FencedSchema,
@@ -75,7 +75,7 @@
   /** Jobs whose owner is not a member, keyed by their new owner; leaving members get no new jobs. */
   private orphanedJobs(): Map<string, string[]> {
     const view = this.opts.view.current;
-    const incarnations = ownersIn(view);
+    const incarnations = eligibleOwners(view);
     const members = new Set(view.members.map((member) => member.incarnation));
     const orphaned = new Map<string, string[]>();
     [...this.opts.ledger.allJobs()].forEach((job) => {
--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -221,7 +221,7 @@
       protocol: PROTOCOL_VERSION,
       role: Role.SIDECAR,
       services: service === undefined ? [] : [service],
-      operators: this.opts.operators?.() ?? '',
+      operators: this.opts.operatorsAddress?.() ?? '',
     });
   }
 
@@ -308,7 +308,7 @@
     );
     this.credits.withdrawAll(false);
     this.taskRunner.startQueued();
-    this.opts.client.forget(backend);
+    this.opts.client.closeIdle(backend);
   }
 
   private handleBackendUnreachable(backend: Announcement): void {
--- a/src/sidecar/SidecarOptions.ts
+++ b/src/sidecar/SidecarOptions.ts
@@ -39,7 +39,7 @@
   /** How long a graceful shutdown waits for running tasks. */
   readonly drainMs: number;
   /** Address of this process's listener for operators, once it listens; reported to entries in the hello message. */
-  readonly operators?: () => string;
+  readonly operatorsAddress?: () => string;
   /** Receives a log line for each change of state. */
   readonly log?: (line: string) => void;
 }
--- a/src/sidecar/TaskRunner.ts
+++ b/src/sidecar/TaskRunner.ts
@@ -169,7 +169,7 @@
   }
 
   private refuse(peer: LinkedEntry, task: TaskId, cause: RefusalCause, trace?: TaskTrace): void {
-    trace?.refused(cause);
+    trace?.endWithRefusal(cause);
     SidecarCounters.increment(this.opts.counters.refusals, RefusalCause[cause]);
     peer.send({ case: 'refuse', value: create(RefuseSchema, { task, cause }) });
   }
@@ -185,7 +185,7 @@
     this.queued = this.queued.filter((each) => !isCancelled(each));
     cancelled.forEach(({ start: { task }, trace }) => {
       const result = emptyResult(TaskStatus.CANCELLED, 'cancelled before it ran');
-      trace?.concluded(result.status, result.reason);
+      trace?.endWithResult(result.status, result.reason);
       from.send({ case: 'done', value: create(DoneSchema, { task, ...result }) });
     });
   }
@@ -200,7 +200,7 @@
     const id = start.task!;
     const task: RunningTask = {
       id,
-      record: this.opts.ledger.record(id, start),
+      record: this.opts.ledger.recordStart(id, start),
       service: start.service,
       slot,
       startedBy: peer.incarnation,
@@ -215,7 +215,7 @@
       task: taskNameOf(id),
       input: start.input,
       timeoutMs: start.timeoutMs,
-      traceparent: trace?.calling(backend) ?? start.traceparent,
+      traceparent: trace?.beginCall(backend) ?? start.traceparent,
     };
     this.opts.client.run(backend, call, task.callAbort.signal).match(
       (answer) => this.handleAnswer(task, answer),
@@ -228,7 +228,7 @@
   }
 
   private handleAnswer(task: RunningTask, answer: BackendAnswer): void {
-    task.trace?.callEnded(answer.ok ? undefined : answer.reason);
+    task.trace?.endCall(answer.ok ? undefined : answer.reason);
     const limit = this.opts.maxOutputBytes(task.service);
     const result =
       answer.output.byteLength > limit
@@ -243,7 +243,7 @@
   }
 
   private handleError(task: RunningTask, backend: Announcement, err: BackendError): void {
-    task.trace?.callEnded(err.reason);
+    task.trace?.endCall(err.reason);
     if (task.callAbort.signal.aborted) {
       this.handleCallEnd(task, emptyResult(TaskStatus.CANCELLED, 'cancelled while it ran'));
       return;
@@ -263,7 +263,7 @@
     this.removeRunning(task);
     this.opts.onUnreachable(backend);
     this.opts.slots.release(task.slot);
-    if (!isReported) task.trace?.refused(RefusalCause.BACKEND_GONE);
+    if (!isReported) task.trace?.endWithRefusal(RefusalCause.BACKEND_GONE);
     if (peer && !isReported) this.refuse(peer, task.id, RefusalCause.BACKEND_GONE);
   }
 
@@ -284,9 +284,9 @@
     if (task.record.result) return;
     const runMs = Math.round(this.opts.timer.now() - task.startedAt);
     const timedResult = { ...result, runMs };
-    this.opts.ledger.finish(task.record, timedResult);
+    this.opts.ledger.recordResult(task.record, timedResult);
     SidecarCounters.increment(this.opts.counters.done, TaskStatus[result.status]);
-    task.trace?.concluded(result.status, result.reason);
+    task.trace?.endWithResult(result.status, result.reason);
     this.sendDone(task.id, timedResult, credit);
   }
 
--- a/src/sidecar/TaskTrace.ts
+++ b/src/sidecar/TaskTrace.ts
@@ -16,7 +16,7 @@
 
   /** Begins the span of a start request; undefined when the task is not traced. */
   static begin(tracer: Tracer | undefined, start: Start, entry: string): TaskTrace | undefined {
-    const span = tracer?.hop('start', SpanKind.SERVER, start.traceparent);
+    const span = tracer?.startHop('start', SpanKind.SERVER, start.traceparent);
     if (!span) return undefined;
     const { service, credit, task } = start;
     span.set({ service, entry, task: task?.index ?? 0, attempt: task?.attempt ?? 0 });
@@ -25,27 +25,27 @@
   }
 
   /** Ends the spans with the cause for which the start was refused. */
-  refused(cause: RefusalCause): void {
-    this.callEnded();
+  endWithRefusal(cause: RefusalCause): void {
+    this.endCall();
     this.startSpan.set({ refused: refusalLabels[cause]! }).fail(`refused: ${refusalLabels[cause]}`);
     this.startSpan.end();
   }
 
   /** Begins the span of the call to the backend server and returns the `traceparent` to send with it. */
-  calling(backend: Announcement): string {
-    this.callSpan = this.tracer.hop('call', SpanKind.CLIENT, this.startSpan.traceparent);
+  beginCall(backend: Announcement): string {
+    this.callSpan = this.tracer.startHop('call', SpanKind.CLIENT, this.startSpan.traceparent);
     this.callSpan?.set({ 'backend.address': backend.address });
     return this.callSpan?.traceparent ?? '';
   }
 
   /** Ends the span of the call, also when the task's result was already reported. */
-  callEnded(failure?: string): void {
+  endCall(failure?: string): void {
     if (failure) this.callSpan?.fail(failure);
     this.callSpan?.end();
   }
 
   /** Ends the span of the start with the task's result. */
-  concluded(status: TaskStatus, reason: string): void {
+  endWithResult(status: TaskStatus, reason: string): void {
     this.startSpan.set({ status: statusLabels[status]! });
     if (status !== TaskStatus.COMPLETED) this.startSpan.fail(reason);
     this.startSpan.end();
--- a/src/sidecar/UndiciBackendClient.ts
+++ b/src/sidecar/UndiciBackendClient.ts
@@ -38,7 +38,7 @@
     return ResultAsync.fromPromise(this.post(backend.address, call, signal), toBackendError);
   }
 
-  forget(backend: Announcement): void {
+  closeIdle(backend: Announcement): void {
     this.idle.get(backend.address)?.forEach((connection) => connection.close());
     this.idle.delete(backend.address);
   }
--- a/src/sidecar/registerSidecarMetrics.ts
+++ b/src/sidecar/registerSidecarMetrics.ts
@@ -1,5 +1,5 @@
 import type Metrics from '../observe/Metrics';
-import type Reading from '../observe/Reading';
+import type MetricReading from '../observe/MetricReading';
 import type Sidecar from './Sidecar';
 import type SidecarCounters from './SidecarCounters';
 
@@ -9,19 +9,21 @@
   counters: SidecarCounters,
   metrics: Metrics,
 ): void {
-  metrics.read('starts_total', () => [{ value: counters.starts }]);
-  metrics.read('start_refusals_total', () => groupReadings(counters.refusals));
-  metrics.read('done_total', () => groupReadings(counters.done));
-  metrics.read('dials_total', () => [{ value: counters.dials }]);
-  metrics.read('links_opened_total', () => [{ value: counters.linksOpened }]);
-  metrics.read('slots', () => [{ value: sidecar.slotCount }]);
-  metrics.read('tasks_running', () => [{ value: sidecar.runningCount }]);
-  metrics.read('ledger_bytes', () => [{ value: sidecar.ledgerBytes }]);
-  metrics.read('linked_entries', () => [{ value: sidecar.linkCount }]);
-  metrics.read('view_number', () => [{ value: Number(sidecar.viewNumber) }]);
-  metrics.read('configuration_version', () => [{ value: Number(sidecar.configurationVersion) }]);
+  metrics.setSource('starts_total', () => [{ value: counters.starts }]);
+  metrics.setSource('start_refusals_total', () => groupReadings(counters.refusals));
+  metrics.setSource('done_total', () => groupReadings(counters.done));
+  metrics.setSource('dials_total', () => [{ value: counters.dials }]);
+  metrics.setSource('links_opened_total', () => [{ value: counters.linksOpened }]);
+  metrics.setSource('slots', () => [{ value: sidecar.slotCount }]);
+  metrics.setSource('tasks_running', () => [{ value: sidecar.runningCount }]);
+  metrics.setSource('ledger_bytes', () => [{ value: sidecar.ledgerBytes }]);
+  metrics.setSource('linked_entries', () => [{ value: sidecar.linkCount }]);
+  metrics.setSource('view_number', () => [{ value: Number(sidecar.viewNumber) }]);
+  metrics.setSource('configuration_version', () => [
+    { value: Number(sidecar.configurationVersion) },
+  ]);
 }
 
-function groupReadings(group: Readonly<Record<string, number>>): Reading[] {
+function groupReadings(group: Readonly<Record<string, number>>): MetricReading[] {
   return Object.entries(group).map(([name, value]) => ({ labels: [name.toLowerCase()], value }));
 }
--- a/test/batches/BatchEntry.test.ts
+++ b/test/batches/BatchEntry.test.ts
@@ -20,7 +20,7 @@
   const batchCase = await BatchCase.open();
   const caller = batchCase.submit('a', { tasks: 12 });
   await batchCase.timer.advance(150);
-  const busiest = batchCase.backends.map((backend) => backend.busiest);
+  const busiest = batchCase.backends.map((backend) => backend.maxConcurrentRuns);
   const early = caller.answer;
   await batchCase.timer.advance(100);
   expect([busiest, early, caller.answer]).toEqual([[4, 4], undefined, { kind: 'completed' }]);
@@ -194,7 +194,7 @@
   await batchCase.timer.advance(600);
   batchCase.submit('b', { tasks: 8, ms: 500 });
   await batchCase.timer.advance(100);
-  expect([first.answer, batchCase.backends[0]!.tasks]).toEqual([{ kind: 'completed' }, []]);
+  expect([first.answer, batchCase.backends[0]!.runningTasks]).toEqual([{ kind: 'completed' }, []]);
 });
 
 test('after a pause of its process an entry gives up its open batches', async () => {
--- a/test/batches/changingCapacity.test.ts
+++ b/test/batches/changingCapacity.test.ts
@@ -9,7 +9,7 @@
 
 function shrinkTo(batchCase: BatchCase, tasks: number): void {
   const capacity = capacityOf(tasks);
-  batchCase.sidecars[0]!.handleHeartbeat(batchCase.backends[0]!.report({ capacity }));
+  batchCase.sidecars[0]!.handleHeartbeat(batchCase.backends[0]!.nextHeartbeat({ capacity }));
 }
 
 test('entries use capacity that has grown while tasks run', async () => {
@@ -31,7 +31,7 @@
   shrinkTo(batchCase, 2);
   batchCase.submit('b', { tasks: 8, ms: 200 });
   await batchCase.timer.advance(900);
-  const { starts, tasks } = batchCase.backends[0]!;
+  const { starts, runningTasks: tasks } = batchCase.backends[0]!;
   expect([starts.length, tasks.length]).toEqual([12, 2]);
 });
 
@@ -39,7 +39,9 @@
   const batchCase = await BatchCase.open({ sidecars: 1 });
   await batchCase.timer.advance(3_000);
   batchCase.sidecars[0]!.handleHeartbeat(
-    batchCase.backends[0]!.report({ capacity: Resources.of({ cpuMilli: 2_000, memoryMb: 64 }) }),
+    batchCase.backends[0]!.nextHeartbeat({
+      capacity: Resources.of({ cpuMilli: 2_000, memoryMb: 64 }),
+    }),
   );
   await batchCase.timer.advance(20);
   const refused = batchCase.submit('a');
--- a/test/batches/claimRetention.test.ts
+++ b/test/batches/claimRetention.test.ts
@@ -14,7 +14,7 @@
     create(BatchHolderSchema, { instance: name, incarnation: name, claim: 1 }),
   );
   register.claim('long', one!, 60_000, []);
-  for (let number = 0; number <= claimLimits.notes; number += 1) {
+  for (let number = 0; number <= claimLimits.maxRecords; number += 1) {
     if (number % 100 === 0) await timer.advance(150);
     register.claim(`short ${number}`, one!, 2_000, []);
   }
--- a/test/batches/crashingTasks.test.ts
+++ b/test/batches/crashingTasks.test.ts
@@ -80,7 +80,7 @@
   for (const number of [0, 1, 0]) {
     await batchCase.timer.advance(100);
     const backend = batchCase.backends[number]!;
-    batchCase.sidecars[number]!.handleHeartbeat(backend.report({ draining: true }));
+    batchCase.sidecars[number]!.handleHeartbeat(backend.nextHeartbeat({ draining: true }));
     backend.crash();
     await batchCase.timer.advance(2_300);
   }
--- a/test/callers/serverFaults.test.ts
+++ b/test/callers/serverFaults.test.ts
@@ -19,10 +19,10 @@
 async function sendRequest(manifest: Manifest | undefined, method: 'POST' | 'PUT', path: string) {
   const server = CallerServer.create({
     ...{ limits, manifest: () => manifest, isLeaving: () => false },
-    ...{ version: () => 1n, reached: async () => true },
+    ...{ configurationVersion: () => 1n, waitForVersion: async () => true },
     timer: ManualTimer.create(),
     random: Random.fromSeed(1),
-    failed: () => undefined,
+    onError: () => undefined,
     submit: () => Promise.reject(new Error('not reached')),
   });
   servers.push(server);
--- a/test/daemon/silentConnection.test.ts
+++ b/test/daemon/silentConnection.test.ts
@@ -5,7 +5,7 @@
 import { build } from 'esbuild';
 import { beforeAll, expect, onTestFinished, test, vi } from 'vitest';
 import SystemTimer from '../../src/core/SystemTimer';
-import Engine from '../../tools/platform/Engine';
+import SimulatedStoreEngine from '../../tools/platform/SimulatedStoreEngine';
 import PlatformServer from '../../tools/platform/PlatformServer';
 import freePort from '../support/freePort';
 import TcpProxy from '../../tools/harness/TcpProxy';
@@ -44,7 +44,7 @@
 });
 
 async function startStore(): Promise<string> {
-  const server = PlatformServer.of(Engine.create(timer));
+  const server = PlatformServer.of(SimulatedStoreEngine.create(timer));
   onTestFinished(() => server.close());
   const address = await server.listen('127.0.0.1', 0);
   const value = JSON.stringify({ version: 1, applyId: 'first', manifest });
@@ -115,11 +115,11 @@
   const numbers = Array.from({ length: REQUESTS }, (_, number) => number);
 
   numbers.forEach((number) => submit(callers, number, ''));
-  await vi.waitUntil(() => proxy.connections === 1, WAIT_OPTIONS);
+  await vi.waitUntil(() => proxy.connectionCount === 1, WAIT_OPTIONS);
   await timer.sleep(EXIT_WAIT_MS);
   proxy.freeze();
   numbers.forEach((number) => submit(callers, REQUESTS + number, 'x'.repeat(INPUT_BYTES)));
-  await vi.waitUntil(() => proxy.connections === 2, WAIT_OPTIONS);
+  await vi.waitUntil(() => proxy.connectionCount === 2, WAIT_OPTIONS);
   proxy.reset();
   expect(await Promise.all([owner, entry].map(healthOf))).toEqual(['ok\n', 'ok\n']);
 });
--- a/test/link/ConnectNetwork.test.ts
+++ b/test/link/ConnectNetwork.test.ts
@@ -61,12 +61,12 @@
 
   it('uses the same connection for links and calls', async () => {
     await Promise.all([call(), dial(), call(), dial()]);
-    expect(proxy.connections).toBe(1);
+    expect(proxy.connectionCount).toBe(1);
   });
 
   it('reconnects after the connection broke', async () => {
     const link = valueOf(await dial());
-    proxy.break();
+    proxy.closeConnections();
     for await (const message of link.messages()) expect(message).toBeUndefined();
     expect((await call()).isOk()).toBe(true);
   });
@@ -75,7 +75,7 @@
   // stream was discarded.
   it('records on both sides why a link broke, and no failure if it was closed', async () => {
     const links = [valueOf(await dial()), far.servedLinks[0]!];
-    proxy.break();
+    proxy.closeConnections();
     await Promise.all(links.map(waitForEnd));
     const closed = valueOf(await dial());
     closed.close();
@@ -91,7 +91,7 @@
     const arrived = hangClaims();
     const pending = call();
     await arrived;
-    proxy.break();
+    proxy.closeConnections();
     expect(errorOf(await pending).kind).toBe('broken');
   });
 
@@ -129,6 +129,6 @@
     await call();
     near.close();
     await far.listener.close();
-    await expect(proxy.idle()).resolves.toBeUndefined();
+    await expect(proxy.whenIdle()).resolves.toBeUndefined();
   });
 });
--- a/test/link/PeerSession.test.ts
+++ b/test/link/PeerSession.test.ts
@@ -132,7 +132,7 @@
     peers.proxy.freeze();
     peers.proxy.reset();
     await peers.settle();
-    expect([peers.uncaught.errors, peers.proxy.connections]).toEqual([[], 2]);
+    expect([peers.uncaught.errors, peers.proxy.connectionCount]).toEqual([[], 2]);
   });
 
   it('closes the socket of a connection whose ping has timed out without waiting for the peer', async () => {
@@ -149,10 +149,10 @@
   it('opens no second connection after the first has ended', async () => {
     const session = PeerSession.create(peers.address, ManualTimer.create(), 1_000);
     expect(await session.open()).toBeUndefined();
-    peers.proxy.break();
+    peers.proxy.closeConnections();
     await peers.settle();
     await expect(session.client.claim({})).rejects.toThrow('the connection has ended');
-    expect([session.isClosing, peers.proxy.connections]).toEqual([true, 1]);
+    expect([session.isClosing, peers.proxy.connectionCount]).toEqual([true, 1]);
   });
 
   it('can call again after an unused connection was closed as idle', async () => {
@@ -167,7 +167,7 @@
     await peers.settle();
     peers.proxy.freeze();
     await peers.advance(IDLE_LIMIT_MS);
-    expect([peers.proxy.connections, (await claim()).isOk()]).toEqual([1, true]);
+    expect([peers.proxy.connectionCount, (await claim()).isOk()]).toEqual([1, true]);
   });
 
   it('closes replaced connections as well', async () => {
--- a/test/observe/DialLog.test.ts
+++ b/test/observe/DialLog.test.ts
@@ -10,7 +10,7 @@
     lines.push(`${message}: ${tries} in ${forMs} ms ${reason}`);
   const dialLog = DialLog.to(timer, { info: write, warn: write });
   for (const reason of dials) {
-    dialLog.dialled('10.0.0.1:1', reason);
+    dialLog.logDial('10.0.0.1:1', reason);
     await timer.advance(500);
   }
   return lines;
--- a/test/observe/Metrics.test.ts
+++ b/test/observe/Metrics.test.ts
@@ -30,7 +30,7 @@
   hooks.taskStarted('quote', 20);
   hooks.taskSettled('quote', TaskStatus.COMPLETED, 120, 100);
   hooks.startRefused(RefusalCause.STALE_CREDIT);
-  hooks.wasted('cancelled', 3);
+  hooks.messagesWasted('cancelled', 3);
   expect(await renderOwn(metrics)).toMatchInlineSnapshot(`
     "magnoliakeel_requests_total{service="quote",outcome="completed"} 1
     magnoliakeel_requests_total{service="quote",outcome="not_run"} 1
@@ -90,7 +90,7 @@
 test('reads gauges when metrics are rendered', async () => {
   const { metrics } = open();
   let queued = 1;
-  metrics.read('queue_length', () => [{ labels: ['quote'], value: queued }]);
+  metrics.setSource('queue_length', () => [{ labels: ['quote'], value: queued }]);
   queued = 7;
   expect(await renderOwn(metrics)).toBe('magnoliakeel_queue_length{service="quote"} 7');
 });
--- a/test/observe/SpanBuffer.test.ts
+++ b/test/observe/SpanBuffer.test.ts
@@ -13,9 +13,9 @@
 const TRACEPARENT = '00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01';
 
 const sinks = {
-  working: { take: () => okAsync() },
-  failing: { take: () => errAsync('down') },
-  stuck: { take: () => new ResultAsync(never()) },
+  working: { exportBatch: () => okAsync() },
+  failing: { exportBatch: () => errAsync('down') },
+  stuck: { exportBatch: () => new ResultAsync(never()) },
 } satisfies Record<string, SpanSink>;
 
 /** Ends a number of spans, closes the buffer and returns the span metrics. */
@@ -25,10 +25,10 @@
   const buffer = SpanBuffer.create({ timer, metrics, sink, resource: resourceFromAttributes({}) });
   const tracer = Tracer.create({
     ...{ timer, random: Random.fromSeed(1), incarnation: 's1', sample: 0 },
-    ended: (span) => buffer.add(span),
+    onEnd: (span) => buffer.add(span),
   });
   for (let made = 0; made < spans; made += 1) {
-    tracer.hop('hop', SpanKind.INTERNAL, TRACEPARENT)!.end();
+    tracer.startHop('hop', SpanKind.INTERNAL, TRACEPARENT)!.end();
   }
   const closed = buffer.close();
   await timer.advance(2000);
--- a/test/observe/ProcessFaults.test.ts
+++ b/test/observe/UncaughtErrorHandler.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import Random from '../../src/core/Random';
 import Metrics from '../../src/observe/Metrics';
-import ProcessFaults from '../../src/observe/ProcessFaults';
+import UncaughtErrorHandler from '../../src/observe/UncaughtErrorHandler';
 import ManualTimer from '../support/ManualTimer';
 
 /** Creates the error handling of a process, with what it logs and does, each with the time in ms. */
@@ -13,14 +13,14 @@
     const { unwritten, pauseMs } = fields as Record<string, unknown>;
     record(`${message} ${JSON.stringify({ unwritten, pauseMs })}`);
   };
-  const faults = ProcessFaults.create({
+  const faults = UncaughtErrorHandler.create({
     ...{ timer, random: Random.fromSeed(seed), log: { error: write, info: write } as never },
-    end: () => record('exits'),
-    leave: () => record('shuts down'),
+    exit: () => record('exits'),
+    shutDown: () => record('shuts down'),
   });
   const fail = async (times: number, intervalMs: number) => {
     for (let turn = 0; turn < times; turn += 1) {
-      faults.take(new Error('a fault'), 'uncaughtException');
+      faults.handleUncaught(new Error('a fault'), 'uncaughtException');
       await timer.advance(intervalMs);
     }
   };
@@ -36,7 +36,7 @@
 
 test('a process that serves requests goes on after an error', async () => {
   const { faults, fail, events, timer } = open();
-  faults.contain(() => ({ batches: 3 }));
+  faults.surviveErrors(() => ({ batches: 3 }));
   await fail(3, 1_000);
   await timer.advance(60_000);
   expect(events).toEqual([0, 1_000, 2_000].map((at) => `${at} an error reached nobody {}`));
@@ -46,7 +46,7 @@
   const events = await Promise.all(
     [123_456_789, 1_987_654_321].map(async (seed) => {
       const { faults, fail, otherEvents } = open(seed);
-      faults.contain(() => ({}));
+      faults.surviveErrors(() => ({}));
       await fail(500, 100);
       return otherEvents();
     }),
@@ -67,7 +67,7 @@
 
 test('a process is not shut down when the errors have stopped by the end of the delay', async () => {
   const { faults, fail, otherEvents, timer } = open();
-  faults.contain(() => ({}));
+  faults.surviveErrors(() => ({}));
   await fail(30, 100);
   await timer.advance(60_000);
   expect(otherEvents()).toMatchInlineSnapshot(`
@@ -80,12 +80,12 @@
 
 test('of many errors at once the first are logged and all counted, and the next line has the number of the others', async () => {
   const { faults, fail, otherEvents, timer, events } = open();
-  faults.contain(() => ({}));
+  faults.surviveErrors(() => ({}));
   await fail(100, 0);
   await timer.advance(1_000);
   await fail(1, 0);
   const metrics = Metrics.create(timer, 'batchEntry');
-  faults.expose(metrics);
+  faults.registerMetrics(metrics);
   const text = await metrics.render();
   const shown = text.split('\n').filter((line) => line.startsWith('magnoliakeel_faults'));
   expect([events.length, otherEvents(), shown]).toMatchInlineSnapshot(`
@@ -103,7 +103,7 @@
 
 test('an error is logged also when the counts of work in progress cannot be read', async () => {
   const { faults, fail, events } = open();
-  faults.contain(() => {
+  faults.surviveErrors(() => {
     throw new Error('no figures');
   });
   await fail(1, 0);
--- a/test/observe/traces.test.ts
+++ b/test/observe/traces.test.ts
@@ -54,14 +54,14 @@
   const traceCase = await start();
   await traceCase.submit(1, `${CALLER}-01`);
   const [call] = traceCase.ids('call');
-  expect(traceCase.called).toEqual([`00-${TRACE}-${call}-01`]);
+  expect(traceCase.receivedTraceparents).toEqual([`00-${TRACE}-${call}-01`]);
 });
 
 test('a request whose caller asks for no trace is never traced, even with a share of 1', async () => {
   const traceCase = await start(1);
   await traceCase.submit(1, `${CALLER}-00`);
   expect(traceCase.tree()).toBe('no spans');
-  expect(traceCase.called).toEqual([`${CALLER}-00`]);
+  expect(traceCase.receivedTraceparents).toEqual([`${CALLER}-00`]);
 });
 
 test('the configured share of the requests without a traceparent is traced', async () => {
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -1,14 +1,14 @@
 import { afterEach, describe, expect, test } from 'vitest';
 import HttpStore from '../../src/store/HttpStore';
 import type Store from '../../src/store/Store';
-import Engine from '../../tools/platform/Engine';
+import SimulatedStoreEngine from '../../tools/platform/SimulatedStoreEngine';
 import type StoreFaults from '../../tools/platform/StoreFaults';
 import PlatformServer from '../../tools/platform/PlatformServer';
 import ManualTimer from '../support/ManualTimer';
 import outcome from '../support/outcome';
 
 interface StoreCase {
-  readonly engine: Engine;
+  readonly engine: SimulatedStoreEngine;
   readonly timer: ManualTimer;
   readonly store: Store;
 }
@@ -18,7 +18,7 @@
 const storeCases: Record<string, () => Promise<StoreCase>> = {
   'in process': async () => {
     const timer = ManualTimer.create();
-    const engine = Engine.create(timer);
+    const engine = SimulatedStoreEngine.create(timer);
     return { engine, timer, store: engine.client('a') };
   },
   'over HTTP': () => httpCase(),
@@ -26,7 +26,7 @@
 
 async function httpCase(callsPerSecond = 100): Promise<StoreCase> {
   const timer = ManualTimer.create();
-  const engine = Engine.create(timer);
+  const engine = SimulatedStoreEngine.create(timer);
   const server = PlatformServer.of(engine);
   const url = `http://${await server.listen('127.0.0.1', 0)}`;
   const options = { url, client: 'a', timer, callsPerSecond, timeoutMs: 2_000 };
@@ -39,7 +39,11 @@
 }
 
 /** Waits, without advancing the clock, until the engine has counted this many calls. */
-async function waitForCalls(engine: Engine, kind: keyof Store, count: number): Promise<void> {
+async function waitForCalls(
+  engine: SimulatedStoreEngine,
+  kind: keyof Store,
+  count: number,
+): Promise<void> {
   await expect.poll(() => engine.calls().a?.[kind]).toBe(count);
 }
 
--- a/test/runs/BackendIncarnation.test.ts
+++ b/test/runs/BackendIncarnation.test.ts
@@ -14,7 +14,7 @@
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 5);
   await runCase.timer.advance(50);
-  expect([runCase.ends, backend.busiest]).toEqual([['a.4 REFUSED'], 4]);
+  expect([runCase.ends, backend.maxConcurrentRuns]).toEqual([['a.4 REFUSED'], 4]);
 });
 
 test('a start request that finds no free capacity is executed if a run ends within a few milliseconds', async () => {
@@ -26,7 +26,7 @@
   await runCase.timer.advance(57);
   runCase.startTasks('b');
   await runCase.timer.advance(30);
-  expect([runCase.ends, backend.busiest]).toEqual([['a.0 DONE'], 4]);
+  expect([runCase.ends, backend.maxConcurrentRuns]).toEqual([['a.0 DONE'], 4]);
 });
 
 test('a run that is being stopped occupies its capacity until its end is listed', async () => {
@@ -38,7 +38,7 @@
   await runCase.timer.advance(100);
   runCase.startTasks('c');
   await runCase.timer.advance(10);
-  expect([runCase.ends, backend.tasks]).toMatchInlineSnapshot(`
+  expect([runCase.ends, backend.runningTasks]).toMatchInlineSnapshot(`
     [
       [
         "b.0 REFUSED",
@@ -63,7 +63,7 @@
 
 test('a start whose answer is lost is sent again and runs once', async () => {
   const { runCase, backend } = await RunCase.open();
-  backend.fail({ call: 'start', how: 'lost' });
+  backend.injectFault({ call: 'start', how: 'lost' });
   runCase.startTasks('a');
   await runCase.timer.advance(500);
   expect([runCase.ends, backend.starts.length]).toEqual([['a.0 DONE'], 1]);
@@ -75,7 +75,7 @@
     runCase.startTasks(`a${round}`, 4, { spec: '5' });
     await runCase.timer.advance(20);
   }
-  backend.fail({ call: 'start', how: 'dropped' });
+  backend.injectFault({ call: 'start', how: 'dropped' });
   runCase.startTasks('b', 1, { spec: '5' });
   await runCase.timer.advance(50);
   expect(runCase.ends.at(-1)).toBe('b.0 DONE');
@@ -83,7 +83,7 @@
 
 test('a start that is never answered is stopped before its capacity is freed', async () => {
   const { runCase, backend } = await RunCase.open();
-  for (let i = 0; i < 5; i += 1) backend.fail({ call: 'start', how: 'late', lateMs: 2_000 });
+  for (let i = 0; i < 5; i += 1) backend.injectFault({ call: 'start', how: 'late', lateMs: 2_000 });
   runCase.startTasks('a');
   await runCase.timer.advance(3_000);
   expect([runCase.ends, backend.starts, runCase.host.size]).toEqual([['a.0 LOST'], [], 0]);
@@ -91,11 +91,11 @@
 
 test('a refusal proves nothing while an earlier start is still in flight', async () => {
   const { runCase, backend } = await RunCase.open();
-  backend.fail({ call: 'start', how: 'late', lateMs: 1_000 });
-  backend.refusing = 'unfit';
+  backend.injectFault({ call: 'start', how: 'late', lateMs: 1_000 });
+  backend.refusalReason = 'unfit';
   runCase.startTasks('a');
   await runCase.timer.advance(400);
-  backend.refusing = undefined;
+  backend.refusalReason = undefined;
   await runCase.timer.advance(1_000);
   expect([runCase.ends, backend.starts]).toEqual([['a.0 LOST'], []]);
 });
@@ -104,21 +104,21 @@
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
-  backend.fail({ call: 'stop', how: 'dropped' });
+  backend.injectFault({ call: 'stop', how: 'dropped' });
   runCase.host.stop(runCase.owner, 'asked');
   await runCase.timer.advance(400);
-  expect([runCase.ends, backend.tasks]).toEqual([['a.0 LOST'], []]);
+  expect([runCase.ends, backend.runningTasks]).toEqual([['a.0 LOST'], []]);
 });
 
 test('runs at a silent backend server end only when their lease is known to have expired', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(100);
-  backend.fallSilent();
+  backend.stopAnswering();
   const log: string[] = [];
   for (let at = 250; at <= 1500; at += 250) {
     await runCase.timer.advance(250);
-    log.push(`${at}: ${backend.tasks.length} running, ${runCase.ends.length} ended`);
+    log.push(`${at}: ${backend.runningTasks.length} running, ${runCase.ends.length} ended`);
   }
   expect(log).toMatchInlineSnapshot(`
     [
@@ -136,10 +136,10 @@
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(100);
-  backend.fallSilent();
+  backend.stopAnswering();
   await runCase.timer.advance(2_000);
   const wasAccepting = runCase.host.isAccepting;
-  backend.speak();
+  backend.resumeAnswering();
   await runCase.timer.advance(500);
   expect([wasAccepting, runCase.host.isAccepting]).toEqual([false, true]);
 });
@@ -150,11 +150,11 @@
     runCase.startTasks(`a${round}`, 4, { spec: '5' });
     await runCase.timer.advance(20);
   }
-  backend.fallSilent();
+  backend.stopAnswering();
   runCase.startTasks('b', 1, { spec: '5' });
   await runCase.timer.advance(100);
   const whileUnresponsive = runCase.host.isAccepting;
-  backend.speak();
+  backend.resumeAnswering();
   await runCase.timer.advance(200);
   expect([whileUnresponsive, runCase.host.isAccepting]).toEqual([false, true]);
 });
@@ -187,8 +187,8 @@
 
 test('a draining backend server gets no task after its heartbeat', async () => {
   const { runCase, backend } = await RunCase.open();
-  runCase.host.handleHeartbeat(backend.report({ draining: true }));
-  runCase.host.handleHeartbeat(backend.report());
+  runCase.host.handleHeartbeat(backend.nextHeartbeat({ draining: true }));
+  runCase.host.handleHeartbeat(backend.nextHeartbeat());
   runCase.startTasks('a');
   await runCase.timer.advance(100);
   expect([runCase.ends, backend.starts]).toEqual([['a.0 REFUSED'], []]);
@@ -197,8 +197,8 @@
 test('a new backend server is called again when its first answer is lost', async () => {
   const { runCase } = await RunCase.open();
   const next = runCase.addIncarnation('b2');
-  next.fail({ call: 'hold', how: 'dropped' });
-  runCase.host.handleHeartbeat(next.report());
+  next.injectFault({ call: 'hold', how: 'dropped' });
+  runCase.host.handleHeartbeat(next.nextHeartbeat());
   await runCase.timer.advance(300);
   expect(runCase.host.current?.heartbeat.id).toBe('b2');
 });
@@ -206,9 +206,9 @@
 test('a late heartbeat of an ended incarnation does not displace the new one', async () => {
   const { runCase, backend } = await RunCase.open();
   backend.replace();
-  const late = backend.report();
+  const late = backend.nextHeartbeat();
   const next = runCase.addIncarnation('b2');
-  runCase.host.handleHeartbeat(next.report());
+  runCase.host.handleHeartbeat(next.nextHeartbeat());
   await runCase.timer.advance(50);
   runCase.host.handleHeartbeat(late);
   await runCase.timer.advance(50);
@@ -220,9 +220,9 @@
   runCase.startTasks('a', 1, { spec: '700' });
   await runCase.timer.advance(10);
   const second = RunCase.restartSidecar(backend, runCase.timer);
-  const before = backend.tasks;
+  const before = backend.runningTasks;
   await runCase.timer.advance(150);
-  expect([before, backend.tasks, second.host.isAccepting]).toEqual([['a.0.0'], [], true]);
+  expect([before, backend.runningTasks, second.host.isAccepting]).toEqual([['a.0.0'], [], true]);
 });
 
 test('the same task for another owner waits until the earlier run has ended', async () => {
@@ -231,7 +231,7 @@
   await runCase.timer.advance(10);
   runCase.startTasks('a', 1, { owner: { ...runCase.owner }, spec: '100' });
   await runCase.timer.advance(400);
-  expect([runCase.ends, backend.busiest]).toEqual([['a.0 LOST', 'a.0 DONE'], 1]);
+  expect([runCase.ends, backend.maxConcurrentRuns]).toEqual([['a.0 LOST', 'a.0 DONE'], 1]);
 });
 
 test('an attempt number that is already used there is raised', async () => {
@@ -258,12 +258,12 @@
   runCase.startTasks('a', 4);
   await runCase.timer.advance(100);
   const half = Resources.of({ cpuMilli: 8_000, memoryMb: 4_096 });
-  runCase.host.handleHeartbeat(backend.report({ capacity: half }));
+  runCase.host.handleHeartbeat(backend.nextHeartbeat({ capacity: half }));
   runCase.startTasks('b');
   await runCase.timer.advance(300);
   runCase.startTasks('c', 3);
   await runCase.timer.advance(50);
-  expect([runCase.ends, backend.tasks]).toEqual([
+  expect([runCase.ends, backend.runningTasks]).toEqual([
     ['b.0 REFUSED', 'a.0 DONE', 'a.1 DONE', 'a.2 DONE', 'a.3 DONE', 'c.2 REFUSED'],
     ['c.0.0', 'c.0.1'],
   ]);
@@ -271,13 +271,13 @@
 
 test('a late heartbeat does not restore capacity that is gone', async () => {
   const { runCase, backend } = await RunCase.open();
-  const late = backend.report();
+  const late = backend.nextHeartbeat();
   const half = Resources.of({ cpuMilli: 8_000, memoryMb: 4_096 });
-  runCase.host.handleHeartbeat(backend.report({ capacity: half }));
+  runCase.host.handleHeartbeat(backend.nextHeartbeat({ capacity: half }));
   runCase.host.handleHeartbeat(late);
   runCase.startTasks('a', 4);
   await runCase.timer.advance(50);
-  expect(backend.busiest).toBe(2);
+  expect(backend.maxConcurrentRuns).toBe(2);
 });
 
 // A backend server that restarted repeatedly reset each connection: stops were sent again without any delay,
@@ -290,5 +290,5 @@
   runCase.host.stop(runCase.owner, 'asked');
   await runCase.timer.advance(150);
   // Four stops and the polls, each at least 30 ms after the one before.
-  expect(backend.resets).toBeLessThanOrEqual(5 * 6);
+  expect(backend.resetCount).toBeLessThanOrEqual(5 * 6);
 });
--- a/test/runs/incarnations.test.ts
+++ b/test/runs/incarnations.test.ts
@@ -12,7 +12,7 @@
 async function open() {
   const { runCase, backend } = await RunCase.open(undefined, BORN);
   const heartbeat = async (): Promise<void> => {
-    runCase.host.handleHeartbeat(backend.report());
+    runCase.host.handleHeartbeat(backend.nextHeartbeat());
     await runCase.timer.advance(50);
   };
   return { runCase, backend, heartbeat };
@@ -23,7 +23,7 @@
   const fixture = await open();
   fixture.runCase.startTasks('before', 3, { spec: '20' });
   await fixture.runCase.timer.advance(150);
-  fixture.runCase.host.handleHeartbeat(fixture.backend.report());
+  fixture.runCase.host.handleHeartbeat(fixture.backend.nextHeartbeat());
   fixture.runCase.ends.length = 0;
   return fixture;
 }
@@ -42,7 +42,7 @@
   runCase.startTasks('a', 4, { spec: '900' });
   await runCase.timer.advance(200);
   backend.restart();
-  runCase.host.handleHeartbeat(backend.report());
+  runCase.host.handleHeartbeat(backend.nextHeartbeat());
   const atOnce = [...runCase.ends];
   await heartbeat();
   runCase.startTasks('b', 4, { spec: '20' });
@@ -58,7 +58,7 @@
   runCase.startTasks('a', 2, { spec: '900' });
   await runCase.timer.advance(100);
   backend.restart();
-  runCase.host.handleHeartbeat(backend.report());
+  runCase.host.handleHeartbeat(backend.nextHeartbeat());
   await runCase.timer.advance(1);
   backend.restart();
   await heartbeat();
@@ -66,13 +66,13 @@
   await runCase.timer.advance(200);
   expect([runCase.ends, runCase.host.current?.heartbeat.born]).toEqual([
     ['a.0 LOST', 'a.1 LOST', 'b.0 DONE'],
-    backend.report().born,
+    backend.nextHeartbeat().born,
   ]);
 });
 
 test('a late heartbeat of an earlier incarnation changes nothing', async () => {
   const { runCase, backend, heartbeat } = await open();
-  const late = { ...backend.report({ draining: true }), sequence: 1_000 };
+  const late = { ...backend.nextHeartbeat({ draining: true }), sequence: 1_000 };
   backend.restart();
   await heartbeat();
   runCase.host.handleHeartbeat(late);
@@ -104,7 +104,7 @@
 /** Starts a task, and records what runs at the backend server when the end of the run is reported. */
 function startWatched(runCase: RunCase, backend: LeasedBackend): string[] {
   const seen: string[] = [];
-  const onEnded = (): unknown => seen.push(`ended, ${backend.tasks.length} running`);
+  const onEnded = (): unknown => seen.push(`ended, ${backend.runningTasks.length} running`);
   runCase.startTasks('a', 1, { spec: '700', onEnded });
   return seen;
 }
@@ -116,7 +116,7 @@
   'a start that is executed late, %s, has ended only when nothing of it runs',
   async (_name, lateMs) => {
     const { runCase, backend, heartbeat } = await withEnds();
-    backend.fail({ call: 'start', how: 'late', lateMs });
+    backend.injectFault({ call: 'start', how: 'late', lateMs });
     const seen = startWatched(runCase, backend);
     await runCase.timer.advance(10);
     backend.restart();
@@ -124,7 +124,7 @@
     const before = [...seen];
     await heartbeat();
     await runCase.timer.advance(200);
-    expect([before, seen, backend.tasks]).toEqual([[], ['ended, 0 running'], []]);
+    expect([before, seen, backend.runningTasks]).toEqual([[], ['ended, 0 running'], []]);
   },
 );
 
@@ -133,10 +133,10 @@
   backend.restart();
   const seen = startWatched(runCase, backend);
   await runCase.timer.advance(10);
-  const [ran] = backend.tasks;
+  const [ran] = backend.runningTasks;
   await heartbeat();
   await runCase.timer.advance(100);
-  expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['ended, 0 running'], []]);
+  expect([ran, seen, backend.runningTasks]).toEqual(['a.0.0', ['ended, 0 running'], []]);
 });
 
 // The run was presumed to have ended when the lease that its start carried had expired. The next incarnation
@@ -145,7 +145,7 @@
   const batchCase = await BatchCase.open({ entries: 1, firstStartedAt: BORN });
   const { timer, backends } = batchCase;
   batchCase.submit('a', { ms: 3_000 });
-  backends.forEach((backend) => backend.fail({ call: 'start', how: 'late', lateMs: 1_400 }));
+  backends.forEach((backend) => backend.injectFault({ call: 'start', how: 'late', lateMs: 1_400 }));
   await timer.advance(5);
   backends[0]!.crash();
   await timer.advance(1_200);
@@ -158,7 +158,7 @@
 
 test('without a next incarnation an unanswered start has ended once no start can be executed that late', async () => {
   const { runCase, backend } = await withEnds();
-  backend.fail({ call: 'start', how: 'lost' });
+  backend.injectFault({ call: 'start', how: 'lost' });
   const seen = startWatched(runCase, backend);
   await runCase.timer.advance(5);
   backend.crash();
@@ -170,7 +170,7 @@
 
 test('an unanswered start ends in time when its job was cancelled meanwhile', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
-  backend.fail({ call: 'start', how: 'late', lateMs: 20 });
+  backend.injectFault({ call: 'start', how: 'late', lateMs: 20 });
   const seen = startWatched(runCase, backend);
   await runCase.timer.advance(10);
   backend.restart();
@@ -179,7 +179,7 @@
   const hasRuns = runCase.host.hasRunsOf(runCase.owner);
   await heartbeat();
   await runCase.timer.advance(100);
-  const end = [runCase.host.hasRunsOf(runCase.owner), seen, backend.tasks];
+  const end = [runCase.host.hasRunsOf(runCase.owner), seen, backend.runningTasks];
   expect([hasRuns, end]).toEqual([true, [false, ['ended, 0 running'], []]]);
 });
 
@@ -188,7 +188,7 @@
   await runCase.timer.advance(5_000);
   backend.restart();
   await heartbeat();
-  backend.fail({ call: 'start', how: 'late', lateMs: 100 });
+  backend.injectFault({ call: 'start', how: 'late', lateMs: 100 });
   runCase.startTasks('old', 1, { spec: '900' });
   await runCase.timer.advance(10);
   // The earlier process is gone; its start is still in flight.
@@ -205,7 +205,7 @@
   await runCase.timer.advance(5_000);
   const earlier = RunCase.restartSidecar(backend, runCase.timer);
   await runCase.timer.advance(50);
-  backend.fail({ call: 'start', how: 'late', lateMs: 200 });
+  backend.injectFault({ call: 'start', how: 'late', lateMs: 200 });
   earlier.startTasks('old', 1, { spec: '900' });
   await runCase.timer.advance(10);
   backend.restart();
@@ -231,7 +231,7 @@
 
 test('a heartbeat under the id of the current incarnation, but of another service, changes nothing', async () => {
   const { runCase, backend } = await open();
-  runCase.host.handleHeartbeat(backend.report({ service: 'other' }));
+  runCase.host.handleHeartbeat(backend.nextHeartbeat({ service: 'other' }));
   runCase.startTasks('a', 1, { spec: '20' });
   await runCase.timer.advance(100);
   expect(runCase.ends).toEqual(['a.0 DONE']);
@@ -248,7 +248,7 @@
   backend.restart();
   const ends = [...runCase.ends].sort();
   await runCase.timer.advance(500);
-  expect([ends, backend.tasks]).toEqual([['a.0 LOST', 'a.1 LOST', 'before.0 LOST'], []]);
+  expect([ends, backend.runningTasks]).toEqual([['a.0 LOST', 'a.1 LOST', 'before.0 LOST'], []]);
 });
 
 test('a run has ended only when nothing of it runs, also after an error in its sidecar', async () => {
@@ -273,7 +273,7 @@
     throw new Error('a fault');
   };
   await runCase.timer.advance(200);
-  runCase.host.handleHeartbeat(backend.report());
+  runCase.host.handleHeartbeat(backend.nextHeartbeat());
   await runCase.timer.advance(100);
   runCase.startTasks('b', 1, { spec: '20' });
   await runCase.timer.advance(100);
@@ -284,7 +284,9 @@
   const { runCase, backend } = await RunCase.open();
   const seen = startWatched(runCase, backend);
   await runCase.timer.advance(100);
-  runCase.host.handleHeartbeat(runCase.addIncarnation('b2').report({ address: '127.0.0.1:2' }));
+  runCase.host.handleHeartbeat(
+    runCase.addIncarnation('b2').nextHeartbeat({ address: '127.0.0.1:2' }),
+  );
   await runCase.timer.advance(1_500);
   expect(seen).toEqual(['ended, 0 running']);
 });
@@ -300,20 +302,20 @@
   await heartbeat();
   backend.restart(SET_BACK_MS);
   const seen: string[] = [];
-  const onEnded = (): unknown => seen.push(`ended, ${backend.tasks.length} running`);
+  const onEnded = (): unknown => seen.push(`ended, ${backend.runningTasks.length} running`);
   runCase.startTasks('a', 1, { spec: '5000', onEnded });
   await runCase.timer.advance(10);
-  const [ran] = backend.tasks;
+  const [ran] = backend.runningTasks;
   // The lease of the start is by the clock of the previous incarnation.
   await runCase.timer.advance(950);
   await heartbeat();
   await runCase.timer.advance(200);
-  expect([ran, seen, backend.tasks]).toEqual(['a.0.0', ['ended, 0 running'], []]);
+  expect([ran, seen, backend.runningTasks]).toEqual(['a.0.0', ['ended, 0 running'], []]);
 });
 
 test('an incarnation whose clock was set back accepts tasks once an answer has shown that it is there', async () => {
   const { runCase, backend, heartbeat } = await withEnds();
-  const late = { ...backend.report(), sequence: 1_000 };
+  const late = { ...backend.nextHeartbeat(), sequence: 1_000 };
   backend.restart(SET_BACK_MS);
   runCase.startTasks('a', 1, { spec: '20' });
   await runCase.timer.advance(50);
--- a/test/runs/incarnationsUnderLoad.test.ts
+++ b/test/runs/incarnationsUnderLoad.test.ts
@@ -40,7 +40,7 @@
   const { batchCase, answers } = await underLoad(1, (each, round) => {
     const number = round % 2;
     for (const lateMs of [5, 10, 30, 120, 200]) {
-      each.backends[number]!.fail({ call: 'start', how: 'late', lateMs });
+      each.backends[number]!.injectFault({ call: 'start', how: 'late', lateMs });
     }
     each.submit(`late-${round}`, { tasks: 3, ms: 150 });
     each.timer.after(3, () => restart(each, number));
@@ -65,7 +65,7 @@
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1, firstStartedAt: BORN });
   const { timer } = batchCase;
   const [backend] = batchCase.backends;
-  for (let i = 0; i < 3; i += 1) backend!.fail({ call: 'start', how: 'late', lateMs: 10 });
+  for (let i = 0; i < 3; i += 1) backend!.injectFault({ call: 'start', how: 'late', lateMs: 10 });
   batchCase.submit('a', { tasks: 3, ms: 900 });
   await timer.advance(5);
   backend!.restart();
--- a/test/runs/lateStarts.test.ts
+++ b/test/runs/lateStarts.test.ts
@@ -5,7 +5,7 @@
 /** A start request whose five starts get no answer and are executed a second later. */
 async function withLateStarts() {
   const { runCase, backend } = await RunCase.open();
-  for (let i = 0; i < 5; i += 1) backend.fail({ call: 'start', how: 'late', lateMs: 1_000 });
+  for (let i = 0; i < 5; i += 1) backend.injectFault({ call: 'start', how: 'late', lateMs: 1_000 });
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
   return { runCase, backend };
@@ -27,25 +27,25 @@
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
-  await backend.start(unknownRun, '5000', backend.report().clockMs + 500, TOKEN - 1, 100);
-  expect(backend.tasks).toEqual(['a.0.0']);
+  await backend.start(unknownRun, '5000', backend.nextHeartbeat().clockMs + 500, TOKEN - 1, 100);
+  expect(backend.runningTasks).toEqual(['a.0.0']);
 });
 
 test('a task that starts late and that nobody waits for is stopped soon', async () => {
   const { runCase, backend } = await RunCase.open();
   runCase.startTasks('a', 1, { spec: '5000' });
   await runCase.timer.advance(10);
-  await backend.start(unknownRun, '5000', backend.report().clockMs + 100, TOKEN, 100);
-  const started = backend.tasks;
+  await backend.start(unknownRun, '5000', backend.nextHeartbeat().clockMs + 100, TOKEN, 100);
+  const started = backend.runningTasks;
   await runCase.timer.advance(300);
-  expect([started, backend.tasks]).toEqual([['a.0.0', 'x.0.0'], ['a.0.0']]);
+  expect([started, backend.runningTasks]).toEqual([['a.0.0', 'x.0.0'], ['a.0.0']]);
 });
 
 test('a task that starts late at an idle backend server ends with the lease that its start carried', async () => {
   const { runCase, backend } = await RunCase.open();
-  await backend.start(unknownRun, '5000', backend.report().clockMs + 100, TOKEN, 100);
+  await backend.start(unknownRun, '5000', backend.nextHeartbeat().clockMs + 100, TOKEN, 100);
   await runCase.timer.advance(200);
-  expect(backend.tasks).toEqual([]);
+  expect(backend.runningTasks).toEqual([]);
 });
 
 /** Loses the answers to a job's starts, applies the event, and returns the running tasks 1.5 s and 5 s later. */
@@ -57,7 +57,7 @@
   const [backend] = batchCase.backends;
   // The first starts are executed late, in part after the job has been given up.
   for (const lateMs of [20, 60, 300, 1_000, 2_500, 4_000]) {
-    backend!.fail({ call: 'start', how: 'late', lateMs });
+    backend!.injectFault({ call: 'start', how: 'late', lateMs });
   }
   const { gone } = batchCase.submit('a', { tasks: 3, ms: 20_000 });
   await timer.advance(30);
@@ -87,7 +87,8 @@
   const batchCase = await BatchCase.open({ entries: 1, sidecars: 1 });
   const { timer, backends, network } = batchCase;
   await timer.advance(300);
-  for (let tries = 0; tries < 2; tries += 1) backends[0]!.fail({ call: 'start', how: 'dropped' });
+  for (let tries = 0; tries < 2; tries += 1)
+    backends[0]!.injectFault({ call: 'start', how: 'dropped' });
   batchCase.submit('a', { ms: 8_000 });
   await timer.advance(5);
   network.pause('e0');
--- a/test/runs/reportedDurationRatios.test.ts
+++ b/test/runs/reportedDurationRatios.test.ts
@@ -17,7 +17,7 @@
 
 /** The duration ratios that an entry applies, in tenths, by sidecar. */
 function ratiosOf(batchCase: BatchCase, entry = 0): Record<string, number> {
-  const ratios = [...batchCase.entries[entry]!.speeds];
+  const ratios = [...batchCase.entries[entry]!.machineRatios];
   return Object.fromEntries(
     ratios.map(([{ instance }, ratio]) => [instance, Math.round(ratio * 10)]),
   );
--- a/test/runs/silentEntries.test.ts
+++ b/test/runs/silentEntries.test.ts
@@ -60,7 +60,7 @@
 }
 
 function dropStops(backend: LeasedBackend): void {
-  for (let stops = 0; stops < 40; stops += 1) backend.fail({ call: 'stop', how: 'dropped' });
+  for (let stops = 0; stops < 40; stops += 1) backend.injectFault({ call: 'stop', how: 'dropped' });
 }
 
 // The lease covers everything on a backend server, and was renewed for the runs of other entries.
@@ -94,8 +94,8 @@
   batchCase.submit('lost', { entry: 0, ...long });
   await timer.advance(600);
   filling.gone.abort();
-  const shared = backends.findIndex(({ tasks }) => tasks.includes('lost.0.0'));
-  expect(backends[shared]!.tasks).toEqual(['lost.0.0', 'other.0.0']);
+  const shared = backends.findIndex(({ runningTasks: tasks }) => tasks.includes('lost.0.0'));
+  expect(backends[shared]!.runningTasks).toEqual(['lost.0.0', 'other.0.0']);
   dropStops(backends[shared]!);
   network.partition('e0', `s${shared}`);
   await timer.advance(3_000);
--- a/test/sidecarHttp.test.ts
+++ b/test/sidecarHttp.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, expect, it } from 'vitest';
 import { request } from 'undici';
 import type Announcement from '../src/sidecar/Announcement';
-import BackendDesk from '../src/sidecar/BackendDesk';
+import AnnouncementServer from '../src/sidecar/AnnouncementServer';
 import UndiciBackendClient from '../src/sidecar/UndiciBackendClient';
 import BackendStandIn from '../tools/backend/BackendStandIn';
 import type StandInCounts from '../tools/backend/StandInCounts';
@@ -123,12 +123,12 @@
 
 async function openAnnouncementServer({ isLeaving = false } = {}) {
   const events: unknown[] = [];
-  const server = BackendDesk.create({
-    announce: (backend) => {
+  const server = AnnouncementServer.create({
+    onAnnounce: (backend) => {
       events.push(backend);
       return isLeaving ? undefined : 1000;
     },
-    withdraw: () => events.push('withdraw'),
+    onWithdraw: () => events.push('withdraw'),
   });
   const address = await server.listen('127.0.0.1:0');
   cleanups.push(() => server.close());
--- a/test/support/BatchCase.ts
+++ b/test/support/BatchCase.ts
@@ -151,8 +151,8 @@
       work,
       born: firstStartedAt,
       id: `b${number}.${timer.now()}`,
-      crashed: () => this.handleCrash(number),
-      ran: (what, run) => this.countRuns(taskKey(run), what === 'started' ? 1 : -1),
+      onCrash: () => this.handleCrash(number),
+      onRunChange: (what, run) => this.countRuns(taskKey(run), what === 'started' ? 1 : -1),
     });
   }
 
@@ -164,7 +164,7 @@
 
   /** Sends a backend server's next heartbeat. */
   sendHeartbeat(number: number): void {
-    this.sidecars[number]!.handleHeartbeat(this.backends[number]!.report());
+    this.sidecars[number]!.handleHeartbeat(this.backends[number]!.nextHeartbeat());
   }
 
   private handleCrash(number: number): void {
@@ -173,7 +173,7 @@
     this.timer.after(RESTART_DELAY_MS, () => {
       const backend = this.newBackend(number);
       this.backends[number] = backend;
-      this.sidecars[number]!.handleHeartbeat(backend.report());
+      this.sidecars[number]!.handleHeartbeat(backend.nextHeartbeat());
     });
   }
 
@@ -188,7 +188,7 @@
       connect: () => this.backends[number]!,
     });
     this.sidecars[number] = sidecar;
-    sidecar.handleHeartbeat(backend.report());
+    sidecar.handleHeartbeat(backend.nextHeartbeat());
   }
 
   /** Submits a batch of tasks that each need a quarter of a backend server, and take `ms`. */
@@ -236,7 +236,7 @@
 
   /** Tasks that are running, on all backend servers. */
   get running(): readonly string[] {
-    return this.backends.flatMap(({ tasks }) => tasks).sort();
+    return this.backends.flatMap(({ runningTasks: tasks }) => tasks).sort();
   }
 
   private partsOf(instance: string) {
--- a/test/support/CallerCase.ts
+++ b/test/support/CallerCase.ts
@@ -73,14 +73,14 @@
       timer: SystemTimer.create(),
       random: Random.fromSeed(1),
       manifest: () => this.manifest,
-      version: () => 3n,
-      reached: async (version) => version <= 3n,
+      configurationVersion: () => 3n,
+      waitForVersion: async (version) => version <= 3n,
       isLeaving: () => this.isLeaving,
       submit: ({ submission }, callerGone) => {
         this.submissions.push(submission);
         return this.submit(submission, callerGone);
       },
-      failed: (error) => this.faults.push(error),
+      onError: (error) => this.faults.push(error),
     });
   }
 
--- a/test/support/CtlCase.ts
+++ b/test/support/CtlCase.ts
@@ -5,7 +5,7 @@
 import runCtl from '../../src/ctl/runCtl';
 import type ProcessStatus from '../../src/operators/ProcessStatus';
 import type Store from '../../src/store/Store';
-import Engine from '../../tools/platform/Engine';
+import SimulatedStoreEngine from '../../tools/platform/SimulatedStoreEngine';
 import ManualTimer from './ManualTimer';
 import RecordingTerminal from './RecordingTerminal';
 
@@ -13,7 +13,7 @@
 export default class CtlCase {
   readonly timer = ManualTimer.create();
 
-  readonly engine = Engine.create(this.timer);
+  readonly engine = SimulatedStoreEngine.create(this.timer);
 
   /** Responses by method, address and path; other requests fail as unreachable. */
   readonly answers = new Map<string, () => OperatorAnswer>();
@@ -55,7 +55,7 @@
     // Files are read in real time, so the simulated time only advances while a timer is pending.
     while (!ended) {
       await ManualTimer.settle();
-      if (!ended && this.timer.isAwaited) await this.timer.advance(STEP_MS);
+      if (!ended && this.timer.hasScheduledCalls) await this.timer.advance(STEP_MS);
     }
     return [await code, ...terminal.lines].join('\n');
   }
--- a/test/support/FakeBackend.ts
+++ b/test/support/FakeBackend.ts
@@ -26,7 +26,7 @@
   /** Called with the task's name at the start of each call. */
   onRun: (task: string) => void = () => undefined;
 
-  readonly forget = () => undefined;
+  readonly closeIdle = () => undefined;
 
   private constructor(private readonly timer: TimerService) {}
 
--- a/test/support/ManualTimer.ts
+++ b/test/support/ManualTimer.ts
@@ -28,7 +28,7 @@
   }
 
   /** Whether any call is scheduled. */
-  get isAwaited(): boolean {
+  get hasScheduledCalls(): boolean {
     return this.scheduled.size > 0;
   }
 
--- a/test/support/MembershipCase.ts
+++ b/test/support/MembershipCase.ts
@@ -8,7 +8,7 @@
 } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import Membership from '../../src/membership/Membership';
 import StoreWatch from '../../src/membership/StoreWatch';
-import Engine from '../../tools/platform/Engine';
+import SimulatedStoreEngine from '../../tools/platform/SimulatedStoreEngine';
 import ManualTimer from './ManualTimer';
 
 /** Entries with their memberships and store watches, on one in-memory store. */
@@ -17,7 +17,7 @@
 
   readonly timer = ManualTimer.create();
 
-  readonly engine = Engine.create(this.timer);
+  readonly engine = SimulatedStoreEngine.create(this.timer);
 
   /** Incarnations that the failure detector of every entry suspects. */
   readonly suspected = new Set<string>();
--- a/test/support/ProxiedCase.ts
+++ b/test/support/ProxiedCase.ts
@@ -3,7 +3,7 @@
 import ManualTimer from './ManualTimer';
 import NetworkCase from './NetworkCase';
 import TcpProxy from '../../tools/harness/TcpProxy';
-import Uncaught from './Uncaught';
+import UncaughtErrors from './UncaughtErrors';
 
 type Handlers = Parameters<typeof NetworkCase.start>[1];
 
@@ -12,7 +12,7 @@
  * and the timers that the RPC library uses for pings, and uncaught errors are collected.
  */
 export default class ProxiedCase {
-  readonly uncaught = Uncaught.collect();
+  readonly uncaught = UncaughtErrors.collect();
 
   private constructor(
     readonly far: NetworkCase,
--- a/test/support/RunCase.ts
+++ b/test/support/RunCase.ts
@@ -40,7 +40,7 @@
   static async open(work?: Work, born?: number) {
     const runCase = new RunCase(ManualTimer.create());
     const backend = runCase.addIncarnation('b1', work, born);
-    runCase.host.handleHeartbeat(backend.report());
+    runCase.host.handleHeartbeat(backend.nextHeartbeat());
     await runCase.timer.advance(50);
     return { runCase, backend };
   }
@@ -49,7 +49,7 @@
   static restartSidecar(backend: LeasedBackend, timer: ManualTimer): RunCase {
     const runCase = new RunCase(timer);
     runCase.backends.set('b1', backend);
-    runCase.host.handleHeartbeat(backend.report());
+    runCase.host.handleHeartbeat(backend.nextHeartbeat());
     return runCase;
   }
 
--- a/test/support/SimulatedBackend.ts
+++ b/test/support/SimulatedBackend.ts
@@ -53,7 +53,7 @@
   clientOf(process: SimulatedProcess): BackendClient {
     const run = (_backend: Announcement, call: BackendCall, signal: AbortSignal) =>
       new ResultAsync(process.deliver(this.runTask(call, signal)));
-    return { run, forget: () => undefined };
+    return { run, closeIdle: () => undefined };
   }
 
   private async runTask(
--- a/test/support/SimulatedSystem.ts
+++ b/test/support/SimulatedSystem.ts
@@ -16,7 +16,7 @@
 import Sidecar from '../../src/sidecar/Sidecar';
 import SidecarCounters from '../../src/sidecar/SidecarCounters';
 import type Store from '../../src/store/Store';
-import Engine from '../../tools/platform/Engine';
+import SimulatedStoreEngine from '../../tools/platform/SimulatedStoreEngine';
 import type SimulatedCall from './SimulatedCall';
 import type SimulationEvent from './SimulationEvent';
 import ManualTimer from './ManualTimer';
@@ -61,7 +61,7 @@
 
   readonly network = MemoryNetwork.create(this.timer);
 
-  readonly engine = Engine.create(this.timer);
+  readonly engine = SimulatedStoreEngine.create(this.timer);
 
   readonly events: SimulationEvent[] = [];
 
--- a/test/support/TraceCase.ts
+++ b/test/support/TraceCase.ts
@@ -15,7 +15,7 @@
 import loadSettings from '../../src/settings/loadSettings';
 import Sidecar from '../../src/sidecar/Sidecar';
 import SidecarCounters from '../../src/sidecar/SidecarCounters';
-import Engine from '../../tools/platform/Engine';
+import SimulatedStoreEngine from '../../tools/platform/SimulatedStoreEngine';
 import FakeBackend from './FakeBackend';
 import ManualTimer from './ManualTimer';
 import MemoryNetwork from './MemoryNetwork';
@@ -28,11 +28,11 @@
   readonly backend = FakeBackend.create(this.timer);
 
   /** The `traceparent` of each call that the backend server has seen. */
-  readonly called: string[] = [];
+  readonly receivedTraceparents: string[] = [];
 
   private readonly network = MemoryNetwork.create(this.timer);
 
-  private readonly engine = Engine.create(this.timer);
+  private readonly engine = SimulatedStoreEngine.create(this.timer);
 
   private readonly entries = new Map<string, Entry>();
 
@@ -114,10 +114,10 @@
       ...{ skewMs: 1000, renewMs: 60_000, drainMs: 2000 },
       client: {
         run: (backend, call, signal) => {
-          this.called.push(call.traceparent);
+          this.receivedTraceparents.push(call.traceparent);
           return this.backend.run(backend, call, signal);
         },
-        forget: () => undefined,
+        closeIdle: () => undefined,
       },
       heartbeat: { intervalMs: 1000, suspectMs: 3000, closeMs: 5000 },
       tracer: this.tracerOf('s1', 9),
@@ -133,7 +133,7 @@
     return Tracer.create({
       ...{ timer: this.timer, random: Random.fromSeed(seed), incarnation: instance },
       sample: this.sample,
-      ended: (span) => {
+      onEnd: (span) => {
         this.exported += `${Buffer.from(serializeSpans([span], resource)).toString()}\n`;
       },
     });
--- a/test/support/Uncaught.ts
+++ b/test/support/UncaughtErrors.ts
@@ -1,7 +1,7 @@
 type Listener = NodeJS.UncaughtExceptionListener;
 
 /** Collects uncaught errors, which would otherwise end the process, until it is released. */
-export default class Uncaught {
+export default class UncaughtErrors {
   /** The errors as text, in the order in which they occurred. */
   readonly errors: string[] = [];
 
@@ -13,8 +13,8 @@
   }
 
   /** Replaces the present listeners for uncaught errors. */
-  static collect(): Uncaught {
-    return new Uncaught();
+  static collect(): UncaughtErrors {
+    return new UncaughtErrors();
   }
 
   /** Restores the former listeners. */
--- a/tools/harness/TcpProxy.ts
+++ b/tools/harness/TcpProxy.ts
@@ -28,7 +28,7 @@
 /** A TCP proxy that counts connections and can delay, freeze, block, reset or break them. */
 export default class TcpProxy {
   /** Number of connections accepted so far. */
-  connections = 0;
+  connectionCount = 0;
 
   /** Delay of each chunk of data, in milliseconds. */
   delayMs = 0;
@@ -95,25 +95,25 @@
   }
 
   /** Closes all existing connections, or those dialled from the given IP address. */
-  break(from?: string): void {
+  closeConnections(from?: string): void {
     [...this.pairs]
       .filter((pair) => from === undefined || pair.from === from)
       .forEach(({ near, far }) => [near, far].forEach((socket) => socket.destroy()));
   }
 
   /** Closes the connections that the fault selects, and rejects new ones until the fault ends. */
-  cut(fault: ConnectionFault): void {
+  block(fault: ConnectionFault): void {
     this.blocks.add(fault);
-    this.break(fault.from);
+    this.closeConnections(fault.from);
   }
 
   /** Ends a fault that rejects connections, so that new ones are accepted again. */
-  mend(fault: ConnectionFault): void {
+  unblock(fault: ConnectionFault): void {
     this.blocks.delete(fault);
   }
 
   /** Resolves when every connection has closed. */
-  async idle(): Promise<void> {
+  async whenIdle(): Promise<void> {
     const sockets = [...this.pairs].flatMap(({ near, far }) => [near, far]);
     await Promise.all(
       sockets.filter((socket) => !socket.closed).map((socket) => once(socket, 'close')),
@@ -123,11 +123,11 @@
   /** Closes the proxy and its connections. */
   close(): void {
     this.server.close();
-    this.break();
+    this.closeConnections();
   }
 
   private accept(near: Socket): void {
-    this.connections += 1;
+    this.connectionCount += 1;
     const from = near.remoteAddress ?? '';
     near.on('error', () => near.destroy());
     if ([...this.blocks].some((block) => affects(block, from))) {
--- a/tools/leasedBackend/LeasedBackend.ts
+++ b/tools/leasedBackend/LeasedBackend.ts
@@ -36,9 +36,9 @@
   /** Decides the duration and the result of a task; by default the spec is the duration, ms. */
   readonly work?: (run: RunId, spec: string) => TaskResult;
   /** Called when the backend server crashes. */
-  readonly crashed?: () => void;
+  readonly onCrash?: () => void;
   /** Called on each start that is carried out, and on the end of each run with its reason, including by a crash. */
-  readonly ran?: (
+  readonly onRunChange?: (
     what: 'started' | 'done' | 'failed' | 'lost',
     run: RunId,
     reason?: string,
@@ -63,7 +63,7 @@
   readonly starts: RunId[] = [];
 
   /** Maximum number of concurrent runs. */
-  busiest = 0;
+  maxConcurrentRuns = 0;
 
   private readonly activeRuns = new Map<string, ActiveRun>();
 
@@ -84,12 +84,12 @@
   private readonly waitingPolls = new Set<() => void>();
 
   /** Starts are refused for this reason if set, as by an unhealthy backend server. */
-  refusing: BackendRefusal | undefined;
+  refusalReason: BackendRefusal | undefined;
 
   private state: 'alive' | 'silent' | 'resetting' | 'gone' | 'replaced' = 'alive';
 
   /** Number of calls that arrived while it reset connections. */
-  resets = 0;
+  resetCount = 0;
 
   private sequence = 0;
 
@@ -109,7 +109,7 @@
   }
 
   /** Builds the next heartbeat. */
-  report(change: Partial<BackendHeartbeat> = {}): BackendHeartbeat {
+  nextHeartbeat(change: Partial<BackendHeartbeat> = {}): BackendHeartbeat {
     const { id = 'b1', service = 'booking', labels = [] } = this.opts;
     const { capacity = Resources.of({ cpuMilli: 16_000, memoryMb: 4_096 }) } = this.opts;
     this.sequence += 1;
@@ -125,17 +125,17 @@
   }
 
   /** Keys of the running tasks, sorted. */
-  get tasks(): readonly string[] {
+  get runningTasks(): readonly string[] {
     return [...this.activeRuns.keys()].sort();
   }
 
   /** Applies a fault to the next call of its kind. */
-  fail(fault: CallFault): void {
+  injectFault(fault: CallFault): void {
     this.faults.push(fault);
   }
 
   /** Stops answering calls; runs continue until their lease expires. */
-  fallSilent(): void {
+  stopAnswering(): void {
     this.state = 'silent';
   }
 
@@ -145,7 +145,7 @@
   }
 
   /** Answers calls again. */
-  speak(): void {
+  resumeAnswering(): void {
     this.state = 'alive';
   }
 
@@ -153,7 +153,7 @@
   crash(): void {
     if (this.state === 'gone') return;
     this.state = 'gone';
-    this.opts.crashed?.();
+    this.opts.onCrash?.();
     this.waitingPolls.forEach((wake) => wake());
     this.loseAllRuns();
   }
@@ -244,7 +244,7 @@
   ): ResultAsync<T, BackendRunFailure> {
     if (this.state === 'gone') return errAsync({ kind: 'closed', reason: 'connection refused' });
     if (this.state === 'resetting') {
-      this.resets += 1;
+      this.resetCount += 1;
       return errAsync({ kind: 'unanswered', reason: 'connection reset' });
     }
     if (this.state === 'replaced') return errAsync({ kind: 'replaced', reason: 'another life' });
@@ -270,7 +270,7 @@
     token: number,
   ): BackendRefusal | 'started' {
     if (!this.acceptsToken(token)) return 'fenced';
-    if (this.refusing) return this.refusing;
+    if (this.refusalReason) return this.refusalReason;
     const key = taskKey(run);
     if (this.activeRuns.get(key)?.run.attempt === run.attempt) return 'started';
     if (run.attempt <= (this.highestAttempts.get(key) ?? 0) || this.activeRuns.has(key))
@@ -287,8 +287,8 @@
     });
     const running: ActiveRun = { run, ms, startedAt, end };
     this.activeRuns.set(key, running);
-    this.busiest = Math.max(this.busiest, this.activeRuns.size);
-    this.opts.ran?.('started', run);
+    this.maxConcurrentRuns = Math.max(this.maxConcurrentRuns, this.activeRuns.size);
+    this.opts.onRunChange?.('started', run);
     return 'started';
   }
 
@@ -306,7 +306,7 @@
     if (this.activeRuns.get(key) !== running) return;
     running.end.cancel();
     this.activeRuns.delete(key);
-    this.opts.ran?.(how, running.run, reason);
+    this.opts.onRunChange?.(how, running.run, reason);
     this.endCount += 1;
     this.unacknowledgedEnds.push({ number: this.endCount, run: running.run, how, reason });
     this.waitingPolls.forEach((wake) => wake());
@@ -330,7 +330,7 @@
   private loseAllRuns(): void {
     this.activeRuns.forEach(({ run, end }) => {
       end.cancel();
-      this.opts.ran?.('lost', run, 'crashed');
+      this.opts.onRunChange?.('lost', run, 'crashed');
     });
     this.activeRuns.clear();
     this.leaseTimer?.cancel();
--- a/tools/measureCapacity/measureRecords.ts
+++ b/tools/measureCapacity/measureRecords.ts
@@ -84,9 +84,9 @@
     const job = jobKey('booking', 'job', id);
     const start = create(StartSchema, { service: 'booking', owner: 'entry', digest: job });
     for (let index = 0; index < size; index += 1) {
-      const record = made.record(create(TaskIdSchema, { job, index }), start);
+      const record = made.recordStart(create(TaskIdSchema, { job, index }), start);
       const status = TaskStatus.COMPLETED;
-      made.finish(record, { status, output: output(), runMs: 1, reason: '' });
+      made.recordResult(record, { status, output: output(), runMs: 1, reason: '' });
     }
   });
   return made;
--- a/tools/measureConfig/Operator.ts
+++ b/tools/measureConfig/Operator.ts
@@ -36,7 +36,7 @@
       const applied = await this.store
         .current()
         .andThen((current) => this.store.apply(this.manifest(), current));
-      if (applied.isOk() && applied.value.done) {
+      if (applied.isOk() && applied.value.isApplied) {
         return { version: applied.value.stored!.version, phase, startedAt };
       }
       if (applied.isOk()) this.conflicts += 1;
--- a/tools/measureMembership/SimulatedEntry.ts
+++ b/tools/measureMembership/SimulatedEntry.ts
@@ -10,7 +10,7 @@
 import Membership from '../../src/membership/Membership';
 import StoreWatch from '../../src/membership/StoreWatch';
 import type ManualTimer from '../../test/support/ManualTimer';
-import type Engine from '../platform/Engine';
+import type SimulatedStoreEngine from '../platform/SimulatedStoreEngine';
 import type removalPolicies from './removalPolicies';
 
 /** One incarnation of an entry's membership; the simulation controls its pauses and its death. */
@@ -38,7 +38,7 @@
     names: { readonly instance: string; readonly incarnation: string; readonly region: number },
     parts: {
       readonly timer: ManualTimer;
-      readonly engine: Engine;
+      readonly engine: SimulatedStoreEngine;
       readonly random: Random;
       readonly policy: (typeof removalPolicies)[number];
       readonly leaseMs: number;
--- a/tools/measureMembership/Simulation.ts
+++ b/tools/measureMembership/Simulation.ts
@@ -1,7 +1,7 @@
 import Random from '../../src/core/Random';
 import type { View } from '../../src/gen/magnoliakeel/v1/peer_pb';
 import ManualTimer from '../../test/support/ManualTimer';
-import Engine from '../platform/Engine';
+import SimulatedStoreEngine from '../platform/SimulatedStoreEngine';
 import type MembershipCosts from './MembershipCosts';
 import type removalPolicies from './removalPolicies';
 import SimulatedEntry from './SimulatedEntry';
@@ -27,7 +27,7 @@
 export default class Simulation {
   private readonly timer = ManualTimer.create();
 
-  private readonly engine = Engine.create(this.timer);
+  private readonly engine = SimulatedStoreEngine.create(this.timer);
 
   private readonly random: Random;
 
--- a/tools/measureTracing/TracingBenchmark.ts
+++ b/tools/measureTracing/TracingBenchmark.ts
@@ -49,7 +49,7 @@
 
   private readonly buffer = SpanBuffer.create({
     ...{ timer: this.timer, metrics: this.metrics, resource: resourceFromAttributes({}) },
-    sink: { take: () => okAsync() },
+    sink: { exportBatch: () => okAsync() },
   });
 
   private readonly tracer: Tracer | undefined;
@@ -67,7 +67,7 @@
     this.hooks = variant.metrics ? EntryMetrics.of(this.metrics) : undefined;
     const ended = buffer.add.bind(buffer);
     if (sample !== undefined) {
-      this.tracer = Tracer.create({ timer, random, incarnation: 'e1', sample, ended });
+      this.tracer = Tracer.create({ timer, random, incarnation: 'e1', sample, onEnd: ended });
     }
     this.dispatcher = this.createDispatcher();
     const link = variant.metrics ? MeteredLink.over(this.link(), this.metrics) : this.link();
@@ -131,9 +131,9 @@
 
   private answer(start: Start): void {
     const trace = TaskTrace.begin(this.tracer, start, 'e1');
-    trace?.calling(BACKEND);
-    trace?.callEnded();
-    trace?.concluded(TaskStatus.COMPLETED, '');
+    trace?.beginCall(BACKEND);
+    trace?.endCall();
+    trace?.endWithResult(TaskStatus.COMPLETED, '');
     const { slot, generation } = start.credit!;
     const credit = { slot, generation: generation + 1 };
     const status = TaskStatus.COMPLETED;
--- a/tools/platform/PlatformCall.ts
+++ b/tools/platform/PlatformCall.ts
@@ -1,10 +1,10 @@
 import type Store from '../../src/store/Store';
-import type Engine from './Engine';
+import type SimulatedStoreEngine from './SimulatedStoreEngine';
 import type StoreFaults from './StoreFaults';
 
 /** A call to the simulated platform, parsed from its HTTP request. */
 export default interface PlatformCall {
-  readonly engine: Engine;
+  readonly engine: SimulatedStoreEngine;
   /** Returns the calling process's client of the store. */
   readonly store: () => Store;
   readonly query: URLSearchParams;
--- a/tools/platform/PlatformServer.ts
+++ b/tools/platform/PlatformServer.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { text } from 'node:stream/consumers';
-import type Engine from './Engine';
+import type SimulatedStoreEngine from './SimulatedStoreEngine';
 import type PlatformCall from './PlatformCall';
 import type Route from './Route';
 import routes from './routes';
@@ -9,13 +9,13 @@
 /** Serves the simulated store over HTTP with JSON bodies. */
 export default class PlatformServer {
   private constructor(
-    private readonly engine: Engine,
+    private readonly engine: SimulatedStoreEngine,
     private readonly server: Server,
     private readonly served: readonly Route[],
   ) {}
 
   /** Creates a server that does not listen yet; other routes may serve the same store through other calls. */
-  static of(engine: Engine, served = routes): PlatformServer {
+  static of(engine: SimulatedStoreEngine, served = routes): PlatformServer {
     const platform = new PlatformServer(engine, createServer(), served);
     platform.server.on('request', (req, res) => {
       platform.serve(req, res).catch((cause: unknown) => send(res, 400, { reason: String(cause) }));
--- a/tools/platform/Engine.ts
+++ b/tools/platform/SimulatedStoreEngine.ts
@@ -19,7 +19,7 @@
  * compare-and-swap, leases and watches. Its own methods access the store without
  * faults and without counting; processes use the clients that `client` returns.
  */
-export default class Engine implements Store {
+export default class SimulatedStoreEngine implements Store {
   private readonly items = new Map<string, StoredItem>();
 
   /** Deleted keys, each with the revision of its deletion. */
@@ -43,8 +43,8 @@
   private constructor(private readonly timer: TimerService) {}
 
   /** Creates an empty store whose leases and delays follow the timer. */
-  static create(timer: TimerService): Engine {
-    return new Engine(timer);
+  static create(timer: TimerService): SimulatedStoreEngine {
+    return new SimulatedStoreEngine(timer);
   }
 
   /** Access to the store for one process; the same name gives the same client. */
--- a/tools/replay/Replay.ts
+++ b/tools/replay/Replay.ts
@@ -237,7 +237,7 @@
     this.backends[number] = LeasedBackend.create({
       ...{ timer, id, service: SERVICE },
       work: ({ batch, index }) => this.workOf(number, Number(batch), index),
-      crashed: () => this.handleCrash(number),
+      onCrash: () => this.handleCrash(number),
     });
     this.sendHeartbeat(number);
   }
@@ -254,7 +254,7 @@
     const isDown = this.troubleOf(number)?.how === 'crash';
     if (isDown) return;
     const capacity = Resources.of({ cpuMilli, memoryMb: 100_000 });
-    const report: BackendHeartbeat = this.backends[number]!.report({ capacity });
+    const report: BackendHeartbeat = this.backends[number]!.nextHeartbeat({ capacity });
     this.sidecars[number]!.handleHeartbeat(report);
   }
 
--- a/tools/replay/policies.ts
+++ b/tools/replay/policies.ts
@@ -36,7 +36,7 @@
   /** Slow and failing backend servers get as much work as the others. */
   blind: { ...standardPolicy, findOutliers: () => noOutliers },
   /** All backend servers are presumed to be equally fast. */
-  even: { ...standardPolicy, speeds: () => new Map() },
+  even: { ...standardPolicy, machineRatios: () => new Map() },
   /** Callers' estimates are used as stated. */
   stated: { ...standardPolicy, predictDuration: (_durations, _queue, estimateMs) => estimateMs },
   /** All tasks at a crashed backend server are suspected equally, and given up at their second crash. */
@@ -48,7 +48,7 @@
   /** A task is given up as soon as it was the likeliest cause of two crashes. */
   hasty: { ...standardPolicy, exceedsCrashLimit: ({ suspicion }) => suspicion >= 2 },
   /** All tasks at crashed backend servers are suspected, even when many crash together. */
-  suspecting: { ...standardPolicy, judgeCrashes: () => ({ excused: [], blamed: [] }) },
+  suspecting: { ...standardPolicy, attributeCrashes: () => ({ excused: [], blamed: [] }) },
   /** A task is started again however many backend servers crash while they run it. */
   trusting: { ...standardPolicy, exceedsCrashLimit: () => false },
   /** Each task of a batch is placed separately. */
--- a/tools/soak/BackendServer.ts
+++ b/tools/soak/BackendServer.ts
@@ -93,7 +93,11 @@
     }
     const { incarnation } = this;
     DEFERRED_BY_MS.forEach((ms) =>
-      incarnation.fail({ call: 'start', how: 'late', lateMs: DEFERRED_STARTS_MS + pauseMs + ms }),
+      incarnation.injectFault({
+        call: 'start',
+        how: 'late',
+        lateMs: DEFERRED_STARTS_MS + pauseMs + ms,
+      }),
     );
     timer.after(DEFERRED_STARTS_MS, () => {
       if (!this.isUp || this.incarnation !== incarnation) return;
@@ -136,7 +140,7 @@
         needs.set(taskName(run), cpu);
         return { ms, fails };
       },
-      ran: (what, run, reason = what) => {
+      onRunChange: (what, run, reason = what) => {
         const task = taskName(run);
         const cpuMilli = needs.get(task) ?? 0;
         logLine(`${id} run ${run.attempt} of ${task} ${reason}`);
@@ -172,7 +176,7 @@
       res.destroy();
       return;
     }
-    const text = JSON.stringify({ clock_ms: incarnation.report().clockMs, ...reply.body });
+    const text = JSON.stringify({ clock_ms: incarnation.nextHeartbeat().clockMs, ...reply.body });
     res.writeHead(reply.status, { 'content-type': 'application/json' }).end(text);
   }
 
@@ -180,7 +184,7 @@
   private sendHeartbeat(): void {
     if (!this.isUp) return;
     const { address, control } = this.opts;
-    const { service, labels, sequence, clockMs, capacity, born } = this.incarnation.report();
+    const { service, labels, sequence, clockMs, capacity, born } = this.incarnation.nextHeartbeat();
     const body = JSON.stringify({
       ...{ service, labels, addr: address, zone: 'z1', version: 'v1', slots: 8, state: 'ready' },
       ...{ seq: sequence, clock_ms: clockMs, cold_left_ms: 0, born },
--- a/tools/soak/SoakDeployment.ts
+++ b/tools/soak/SoakDeployment.ts
@@ -5,7 +5,7 @@
 import type TimerService from '../../src/core/TimerService';
 import Processes from '../harness/Processes';
 import TcpProxy from '../harness/TcpProxy';
-import Engine from '../platform/Engine';
+import SimulatedStoreEngine from '../platform/SimulatedStoreEngine';
 import type StoreFaults from '../platform/StoreFaults';
 import PlatformServer from '../platform/PlatformServer';
 import BackendServer from './BackendServer';
@@ -65,7 +65,7 @@
 
   private readonly storeFaults = new Set<StoreFaults>();
 
-  private readonly engine: Engine;
+  private readonly engine: SimulatedStoreEngine;
 
   private readonly store: PlatformServer;
 
@@ -75,7 +75,7 @@
     private readonly opts: SoakDeploymentOptions,
     private readonly network: string,
   ) {
-    this.engine = Engine.create(opts.timer);
+    this.engine = SimulatedStoreEngine.create(opts.timer);
     this.store = PlatformServer.of(this.engine, kvRoutes);
     this.processes = Processes.create({
       printed: (name, line) => {
--- a/tools/soak/applyFault.ts
+++ b/tools/soak/applyFault.ts
@@ -34,8 +34,8 @@
   cut: (deployment, fault) => {
     const rule = { from: diallerIp(deployment, fault) };
     const proxy = deployment.peerProxies.get(fault.target)!;
-    proxy.cut(rule);
-    return () => proxy.mend(rule);
+    proxy.block(rule);
+    return () => proxy.unblock(rule);
   },
   reset: (deployment, fault) => {
     const rule = { from: diallerIp(deployment, fault) };
@@ -96,8 +96,8 @@
   'store-cut': (deployment, { target }) => {
     const rule = {};
     const proxy = deployment.storeProxies.get(target)!;
-    proxy.cut(rule);
-    return () => proxy.mend(rule);
+    proxy.block(rule);
+    return () => proxy.unblock(rule);
   },
 };
 
