--- a/src/batches/exceedsCrashLimit.ts
+++ b/src/batches/exceedsCrashLimit.ts
@@ -2,7 +2,7 @@
 
 /**
  * Whether a task is failed because backend servers crash under it: when it was the likeliest cause
- * three times, the last time alone (`hasToRunAlone`). A task that merely ran there is tolerated for
+ * three times, the last time alone (`needsExclusiveBackend`). A task that merely ran there is tolerated for
  * longer, because a backend server may crash by itself.
  */
 export default function exceedsCrashLimit({ suspicion, crashes }: BatchTask): boolean {
